--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -39,7 +39,7 @@
 from endivegw.configuration.model import TargetKind, TargetParameters
 from endivegw.configuration.parameters import Parameters
 from endivegw.configuration.reports import AdoptionReport, write_report
-from endivegw.configuration.spread import SpreadSettings
+from endivegw.configuration.spread import SyncSettings
 from endivegw.configuration.store import load_changes
 from endivegw.membership.policy import MembershipPolicy
 from endivegw.results import Done
@@ -47,7 +47,7 @@
 from endivegw.services.signing import Credentials
 from endivegw_standins.platform_app import StandinPlatform
 from endivegw_standins.serving import served
-from endivegw_standins.spread_world import SpreadWorld, WorldSettings
+from endivegw_standins.spread_world import SimulationSettings, SyncSimulation
 
 ROUTERS, SIDECARS, ZONES = 370, 650, 7
 ACCOUNTS, BUDGETS = 280, 99_000
@@ -73,8 +73,8 @@
     """
 
     name: str
-    begin: Callable[[SpreadWorld], None] = lambda world: None
-    before: Callable[[SpreadWorld], None] = lambda world: None
+    begin: Callable[[SyncSimulation], None] = lambda world: None
+    before: Callable[[SyncSimulation], None] = lambda world: None
     table_delay_s: float = 0.01
 
 
@@ -89,20 +89,20 @@
     peak_reads: int = 0
 
 
-def new_world(seed: int, table_delay_s: float) -> SpreadWorld:
+def new_world(seed: int, table_delay_s: float) -> SyncSimulation:
     """Return a settled fleet of the target size."""
     policy = MembershipPolicy()
-    settings = WorldSettings(
+    settings = SimulationSettings(
         routers=ROUTERS,
         sidecars=SIDECARS,
         zones=ZONES,
-        heard_by=round(ROUTERS * policy.targets_per_router / SIDECARS),
+        routers_per_sidecar=round(ROUTERS * policy.targets_per_router / SIDECARS),
         heartbeat_s=policy.heartbeat_interval_s,
         router_partners=policy.routers_per_router,
         router_heartbeat_s=policy.router_interval_s,
         table_delay_s=table_delay_s,
     )
-    world = SpreadWorld(settings, random.Random(seed))
+    world = SyncSimulation(settings, random.Random(seed))
     world.commit("t", 1.0)
     world.run_until(SETTLE_S)
     return world
@@ -113,49 +113,54 @@
     return index % ZONES if index >= 0 else -1
 
 
-def cut_zone_from_stores(world: SpreadWorld) -> None:
+def cut_zone_from_stores(world: SyncSimulation) -> None:
     """Cut one zone off from table and object store, not from its peers."""
-    world.cut = lambda one, other: -1 in (one, other) and 0 in (
+    world.partitioned = lambda one, other: -1 in (one, other) and 0 in (
         zone_of(one),
         zone_of(other),
     )
 
 
-def only_one_reader(world: SpreadWorld) -> None:
+def only_one_reader(world: SyncSimulation) -> None:
     """Leave the table to one router; all others have only their peers."""
-    world.cut = lambda one, other: -1 in (one, other) and max(one, other) != 0
+    world.partitioned = lambda one, other: -1 in (one, other) and max(one, other) != 0
 
 
-def one_way_zone(world: SpreadWorld) -> None:
+def one_way_zone(world: SyncSimulation) -> None:
     """Lose what one zone sends to the stores and to all zones but one."""
-    world.cut = lambda one, other: zone_of(one) == 0 and zone_of(other) not in (0, 6)
+    world.partitioned = lambda one, other: zone_of(one) == 0 and zone_of(other) not in (
+        0,
+        6,
+    )
 
 
-def lossy(world: SpreadWorld) -> None:
+def lossy(world: SyncSimulation) -> None:
     """Lose a tenth of the messages between processes, double another tenth."""
     world.loss = 0.1
-    world.doubling = 0.1
+    world.duplication = 0.1
     world.extra_delay_s = 0.2
 
 
-def no_peers(world: SpreadWorld) -> None:
+def no_peers(world: SyncSimulation) -> None:
     """Let no process hear another."""
-    world.cut = lambda one, other: one >= 0 and other >= 0
+    world.partitioned = lambda one, other: one >= 0 and other >= 0
 
 
-def peers_only(world: SpreadWorld) -> None:
+def peers_only(world: SyncSimulation) -> None:
     """Take the table away 50 ms after the change was accepted."""
     world.run_until(world.now_s + 0.05)
     world.table_up = False
     world.objects_up = False
 
 
-def region_cut(world: SpreadWorld) -> None:
+def region_cut(world: SyncSimulation) -> None:
     """Cut three zones off from the others and the stores, until it heals."""
     far = (4, 5, 6)
-    world.cut = lambda one, other: (zone_of(one) in far) != (zone_of(other) in far)
+    world.partitioned = lambda one, other: (zone_of(one) in far) != (
+        zone_of(other) in far
+    )
     world.run_until(world.now_s + 30.0)
-    world.cut = lambda one, other: False
+    world.partitioned = lambda one, other: False
 
 
 FAULTS = (
@@ -187,7 +192,7 @@
         reached = 0
         if fault is HEALED:
             accepted_s = world.now_s
-            reached = world.holding(change.revision)
+            reached = world.count_serving(change.revision)
         result.reached_before += reached
         follow(world, change.revision, accepted_s, result)
         world.run_until(max(world.now_s, first_second + 10.0))
@@ -199,14 +204,14 @@
 
 
 def follow(
-    world: SpreadWorld, revision: int, accepted_s: float, result: Spreading
+    world: SyncSimulation, revision: int, accepted_s: float, result: Spreading
 ) -> None:
     """Note when each process begins to serve under a revision."""
     waiting = list(world.processes)
     while waiting and world.now_s < accepted_s + LONGEST_S:
         still = []
         for process in waiting:
-            if process.spread.view.announced_revision >= revision:
+            if process.scheduler.view.announced_revision >= revision:
                 result.seconds.append(world.now_s - accepted_s)
             else:
                 still.append(process)
@@ -264,7 +269,7 @@
         if not stored:
             world.stored = None
         begin_s = world.now_s
-        world.whole_loads = 0
+        world.full_loads = 0
         for process in world.processes:
             world.restart(process)
         seconds = Spreading()
@@ -279,7 +284,7 @@
             f"restart of all {name} the object store's copy: all serve after "
             f"{max(seconds.seconds):.2f} s, median "
             f"{statistics.median(seconds.seconds):.2f} s, peak {peak} reads/s, "
-            f"{world.whole_loads} load all from the table"
+            f"{world.full_loads} load all from the table"
         )
 
 
@@ -384,7 +389,7 @@
     change_hz = CHANGES_A_DAY / DAY_S
     # A change costs a router two reports or three; see print_reports.
     report_hz = 1 / 60 + 3 * change_hz
-    poll_s = SpreadSettings().poll_s
+    poll_s = SyncSettings().poll_s
     total = poll.wire_bytes / poll_s + change.wire_bytes * change_hz
     cpu = poll.cpu_ms / poll_s + change.cpu_ms * change_hz
     print(f"sidecar: {total:.0f} bytes/s, {cpu / 10:.3f}% of a core")
--- a/src/endivegw/cli/parameters.py
+++ b/src/endivegw/cli/parameters.py
@@ -10,7 +10,7 @@
 
 from endivegw.cli.operating import CommandInputError
 from endivegw.configuration.ini import (
-    IniMistake,
+    IniDiagnostic,
     parse_assignments,
     parse_template,
 )
@@ -79,6 +79,6 @@
             raise click.UsageError(f"{name!r} is none of {known}")
 
 
-def _mistakes(mistakes: tuple[IniMistake, ...], place: str) -> str:
+def _mistakes(mistakes: tuple[IniDiagnostic, ...], place: str) -> str:
     prefix = f"{place}: " if place else ""
     return "\n".join(f"{prefix}{mistake}" for mistake in mistakes)
--- a/src/endivegw/cli/template.py
+++ b/src/endivegw/cli/template.py
@@ -32,7 +32,7 @@
 )
 from endivegw.configuration.documents import TemplateDocument
 from endivegw.configuration.ini import format_parameters, value_texts
-from endivegw.configuration.parameters import layered
+from endivegw.configuration.parameters import merge_parameters
 from endivegw.configuration.store import load_documents
 from endivegw.types import ConfigRevision
 
@@ -60,7 +60,7 @@
     """Create a template from a file, KEY=VALUE arguments or both."""
     parameters = parse_pairs(pairs)
     if file is not None:
-        parameters = layered(read_template_file(file).parameters, parameters)
+        parameters = merge_parameters(read_template_file(file).parameters, parameters)
     result = await create_template(
         context.platform.table, context.operation, name, parameters
     )
@@ -100,7 +100,9 @@
         content = read_template_file(file)
         parameters = content.parameters
         seen = _seen_by_file(seen, content.seen, overwrite)
-    parameters = evolve(layered(parameters, changed), **{key: None for key in unset})
+    parameters = evolve(
+        merge_parameters(parameters, changed), **{key: None for key in unset}
+    )
     result = await edit_template(
         context.platform.table, context.operation, seen, parameters
     )
--- a/src/endivegw/commands/account.py
+++ b/src/endivegw/commands/account.py
@@ -14,7 +14,7 @@
     DocumentKind,
     DocumentName,
 )
-from endivegw.configuration.parameters import Parameters, layered
+from endivegw.configuration.parameters import Parameters, merge_parameters
 from endivegw.configuration.store import load_document, load_revision
 from endivegw.results import Done, Reason, Refused, Result
 from endivegw.services import TablePort
@@ -119,7 +119,8 @@
     new = evolve(
         old,
         parameters=evolve(
-            layered(old.parameters, parameters), **{name: None for name in unset}
+            merge_parameters(old.parameters, parameters),
+            **{name: None for name in unset},
         ),
         template=old.template if template is None else template,
         enabled=old.enabled if enabled is None else enabled,
--- a/src/endivegw/commands/changes.py
+++ b/src/endivegw/commands/changes.py
@@ -137,6 +137,6 @@
     lines = [
         f"revision {change.revision} by {change.operator}: {change.summary}"
         for change in changes.value
-        if exact or change.touches() & names
+        if exact or change.affected_documents() & names
     ]
     return evolve(conflict, detail="\n".join([conflict.detail, *lines]))
--- a/src/endivegw/composition/process.py
+++ b/src/endivegw/composition/process.py
@@ -103,7 +103,7 @@
     process_log = log(name)
     configuration = ConfigurationAgent(
         daemon=process.vm,
-        own_zone=process.availability_zone,
+        local_zone=process.availability_zone,
         table=platform.table,
         objects=platform.objects,
         peers=book,
@@ -116,7 +116,7 @@
 
     def on_header(received: pb.Header) -> None:
         sender = book.heard(received)
-        configuration.heard_peer(
+        configuration.on_peer_revision(
             sender.instance_id,
             sender.availability_zone,
             sender.config_revision,
@@ -124,7 +124,7 @@
         )
 
     def on_reading(vms: tuple[ListedVm, ...], now_s: float) -> None:
-        configuration.view.fleet_known(others_by_zone(vms, process.vm))
+        configuration.view.update_fleet_size(others_by_zone(vms, process.vm))
 
     platform.vms.on_reading(on_reading)
     return Process(
--- a/src/endivegw/configuration/__init__.py
+++ b/src/endivegw/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Templates and parameters of client accounts under one growing revision."""
+"""Versioned configuration: client accounts, templates and targets."""
 
 from endivegw.configuration.model import (
     EMPTY_SNAPSHOT,
--- a/src/endivegw/configuration/codec.py
+++ b/src/endivegw/configuration/codec.py
@@ -1,7 +1,8 @@
-"""Documents, changes and whole configurations as JSON and as bytes.
+"""Encoding of documents, changes and complete configurations.
 
-A message to a process holds either the whole configuration or the changes
-since a revision. Both are JSON, compressed, with a bound on both sizes.
+A message to a process contains either the complete configuration or the changes
+after a revision. Messages are compressed JSON; the compressed and the decompressed
+size are limited.
 """
 
 from __future__ import annotations
@@ -37,8 +38,8 @@
     "ChangesMessage",
     "ConfigMessage",
     "DocumentsMessage",
+    "MAX_DECOMPRESSED_BYTES",
     "MAX_MESSAGE_BYTES",
-    "MAX_PLAIN_BYTES",
     "document_text",
     "encode_change",
     "encode_message",
@@ -47,32 +48,33 @@
     "parse_message",
 ]
 
-#: The form of the JSON; a reader refuses a form that it does not know.
-_FORM = 1
+#: Version of the JSON format; readers refuse unknown versions.
+_FORMAT_VERSION = 1
 
-#: 99,000 budget names, 280 accounts and 650 targets come to 1.7 MB of JSON
-#: and 0.6 MB compressed. The bounds leave room for three times as much and
-#: keep a broken or hostile peer from filling a daemon's 64 MB.
+#: Limits of the compressed and the decompressed size. 99,000 budget names, 280
+#: accounts and 650 targets take 1.7 MB of JSON and 0.6 MB compressed. The limits allow
+#: three times as much and keep a faulty or malicious peer from exhausting a daemon's
+#: 64 MB of memory.
 MAX_MESSAGE_BYTES = 2 * 1024 * 1024
-MAX_PLAIN_BYTES = 6 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 6 * 1024 * 1024
 
-#: At the target size level 1 packs 1.7 MB to 0.62 MB in 26 ms of processor
-#: time, level 6 to 0.57 MB in 68 ms.
-_LEVEL = 1
+#: Level 1 compresses 1.7 MB, the intended size, to 0.62 MB in 26 ms of processor time;
+#: level 6 to 0.57 MB in 68 ms.
+_COMPRESSION_LEVEL = 1
 
 Json = dict[str, Any]
 
 
 @frozen
 class DocumentsMessage:
-    """Carry the whole configuration."""
+    """Carry the complete configuration."""
 
     documents: Documents
 
 
 @frozen
 class ChangesMessage:
-    """Carry the changes that follow a revision, without a gap.
+    """Carry all changes after a revision, without gaps.
 
     :param after: the revision that the first change follows.
     """
@@ -85,20 +87,20 @@
 
 
 def document_text(document: Document) -> str:
-    """Return a document as JSON, the same text for equal documents."""
+    """Return a document as JSON; equal documents have identical text."""
     return _dump(_encode_document(document))
 
 
 def parse_document(name: DocumentName, text: str) -> Document:
-    """Return the document of a name from its JSON.
+    """Parse the JSON of the document with the given name.
 
-    :raises ValueError: where the text is not such a document.
+    :raises ValueError: if the text is not a valid document of this kind.
     """
     return _parse_document(name, json.loads(text))
 
 
 def encode_change(change: Change) -> str:
-    """Return what a change does, as JSON without its revision and history."""
+    """Return the content of a change as JSON, without revision and metadata."""
     return _dump(
         {
             "puts": [
@@ -122,9 +124,9 @@
     summary: str,
     text: str,
 ) -> Change:
-    """Return a change from its row's fields.
+    """Parse a change from the fields of its row.
 
-    :raises ValueError: where the text is not a change.
+    :raises ValueError: if the text is not a valid change.
     """
     value = json.loads(text)
     return Change(
@@ -144,29 +146,32 @@
 
 
 def encode_message(message: ConfigMessage) -> bytes:
-    """Return a message as compressed bytes.
+    """Encode a message as compressed bytes.
 
-    One line holds one document or change: the JSON of the whole, several
-    megabytes, would be made in one step of the interpreter, and a daemon that
-    answers requests meanwhile would stand still for it.
+    Each line contains one document or change. Encoding several megabytes of JSON in
+    a single call would block the interpreter, and a daemon could not serve requests
+    meanwhile.
     """
     match message:
         case DocumentsMessage(documents):
-            lines = [_dump({"form": _FORM, "revision": documents.revision})]
+            lines = [_dump({"form": _FORMAT_VERSION, "revision": documents.revision})]
             lines += [
                 _dump([name.kind.value, name.name, _encode_document(document)])
                 for name, document in sorted(documents.by_name.items())
             ]
         case ChangesMessage(after, changes):
-            lines = [_dump({"form": _FORM, "after": after})]
+            lines = [_dump({"form": _FORMAT_VERSION, "after": after})]
             lines += [_dump(_change_value(change)) for change in changes]
-    return zlib.compress("\n".join(lines).encode(), _LEVEL)
+    return zlib.compress("\n".join(lines).encode(), _COMPRESSION_LEVEL)
 
 
 def parse_message(body: bytes) -> Done[ConfigMessage] | Refused:
-    """Return a message from bytes that came from a peer or the object store."""
+    """Decode a message received from a peer or the object store."""
     if len(body) > MAX_MESSAGE_BYTES:
-        return Refused(Reason.BODY_TOO_LARGE, f"{len(body)} bytes of configuration")
+        return Refused(
+            Reason.BODY_TOO_LARGE,
+            f"configuration of {len(body)} bytes exceeds {MAX_MESSAGE_BYTES} bytes",
+        )
     try:
         return _parse_plain(_decompress(body))
     except (ValueError, KeyError, TypeError, zlib.error) as error:
@@ -174,18 +179,22 @@
 
 
 def _decompress(body: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
-    plain = unpacker.decompress(body, MAX_PLAIN_BYTES)
-    if not unpacker.eof:
-        raise ValueError("cut short or too large")
+    decompressor = zlib.decompressobj()
+    plain = decompressor.decompress(body, MAX_DECOMPRESSED_BYTES)
+    if not decompressor.eof:
+        raise ValueError(
+            f"truncated, or more than {MAX_DECOMPRESSED_BYTES} bytes decompressed"
+        )
     return plain
 
 
 def _parse_plain(plain: bytes) -> Done[ConfigMessage] | Refused:
     head, *lines = plain.split(b"\n")
     value = json.loads(head)
-    if value["form"] != _FORM:
-        return Refused(Reason.BAD_REQUEST, f"configuration of form {value['form']}")
+    if value["form"] != _FORMAT_VERSION:
+        return Refused(
+            Reason.BAD_REQUEST, f"unknown configuration format {value['form']}"
+        )
     if "after" in value:
         changes = tuple(_parse_change_value(json.loads(line)) for line in lines)
         return Done(ChangesMessage(ConfigRevision(int(value["after"])), changes))
@@ -279,9 +288,9 @@
 
 
 def _parse_parameters(value: Mapping[str, Any]) -> Parameters:
-    # While a fleet moves to a newer version of the product, its operators may
-    # set a parameter that older daemons do not know. Refusing the document
-    # would keep these daemons from every later change; so they leave it out.
+    # During an upgrade of a fleet, operators may set a parameter that daemons of the
+    # older version do not know. Refusing the document would block these daemons from
+    # all later changes, so unknown parameters are ignored.
     values: Json = {
         name: tuple(item) if isinstance(item, list) else item
         for name, item in value.items()
--- a/src/endivegw/configuration/commits.py
+++ b/src/endivegw/configuration/commits.py
@@ -1,9 +1,9 @@
-"""Write changes of the configuration, each once or not at all.
+"""Commit changes of the configuration to the table, exactly once or not at all.
 
-A change is one transaction: the documents under the versions that the operator
-saw, the revision under its version, the change under its number, and the
-operation id, which must not exist yet. So revisions have no gaps and no two
-changes share one.
+A change is one transaction. It writes the documents, conditional on the versions
+that the operator read; the revision, conditional on its version; the change under
+its revision; and the operation id, which must not exist yet. Revisions therefore
+have no gaps, and no two changes have the same revision.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from endivegw.configuration.codec import document_text
 from endivegw.configuration.documents import Change, Document, DocumentName
 from endivegw.configuration.rows import (
-    MALFORMED,
     REVISION_KEY,
+    ROW_ERRORS,
     change_fields,
     change_key,
     document_key,
-    malformed,
+    malformed_row,
     operation_key,
     parse_change_row,
-    revision_of,
+    parse_revision,
 )
 from endivegw.results import Done, Reason, Refused, Result, Unknown
 from endivegw.services import Check, Delete, Put, Row, TablePort, Transaction, Write
@@ -29,21 +29,21 @@
 
 __all__ = ["Draft", "Edit", "Removal", "commit_change"]
 
-#: How often a commit starts again because another document was changed in
-#: between. Operators make 1,000 changes a day; eight in one commit's few
-#: milliseconds means that a script runs wild, and the operator should know.
+#: Maximum attempts of a commit that conflicts with changes of other documents.
+#: Operators make 1,000 changes a day; eight within the few milliseconds of a commit
+#: indicate a runaway script, which the operator should learn about.
 MAX_REBASES = 8
 
-#: How often the outcome of a write is asked for after its answer was lost.
+#: Maximum attempts to determine the outcome of a write whose response was lost.
 MAX_RESOLVES = 5
 
-#: Marks an operation id whose write was given up before it took effect.
+#: Revision in the row of an operation id whose write was abandoned without effect.
 _ABANDONED = -1
 
 
 @frozen
 class Edit:
-    """Write a document whose row is at ``expected_version`` (0: absent)."""
+    """Write a document whose row has ``expected_version``; 0 if it must not exist."""
 
     document: Document
     expected_version: int
@@ -51,7 +51,7 @@
 
 @frozen
 class Removal:
-    """Remove a document whose row is at ``expected_version``."""
+    """Remove a document whose row has ``expected_version``."""
 
     name: DocumentName
     expected_version: int
@@ -59,16 +59,16 @@
 
 @frozen
 class Draft:
-    """Hold a change before it has a revision.
+    """Hold a change that has no revision yet.
 
-    :param operation_id: chosen once for one command, so that a lost answer
-        can be resolved.
+    :param operation_id: unique per command; used to determine the outcome of a write
+        whose response was lost.
+    :param at_s: time of the change, in seconds since 1970.
     :param edits: documents to write and remove.
-    :param requires: documents that must still be at the version that was
-        read, such as the template of a new account.
-    :param exact_revision: where set, the change is refused unless the whole
-        configuration is still at this revision; for a change that was
-        checked against all documents.
+    :param requires: documents that must still have the version that was read, such
+        as the template of a new account.
+    :param exact_revision: if set, the change is refused unless the configuration
+        still has this revision; for changes that were validated against all documents.
     """
 
     operation_id: str
@@ -83,26 +83,29 @@
 async def commit_change(
     table: TablePort, draft: Draft, *, timeout_s: float
 ) -> Result[Change]:
-    """Write a change under the next revision; return it as it took effect.
+    """Commit a change under the next revision and return the committed change.
 
-    The same operation id, run again, changes nothing and returns the change
-    that it made. Refused with ``CONFLICT`` where a document is no longer at
-    the version that the operator saw. A change of other documents in between
-    is no conflict: the change is written again behind it.
+    A repeated call with the same operation id changes nothing and returns the
+    original change. The call is refused with ``CONFLICT`` if a document no longer has
+    the version that the operator read. A concurrent change of other documents is no
+    conflict: the commit is retried under the following revision.
     """
     for _ in range(MAX_REBASES):
         keys = (REVISION_KEY, operation_key(draft.operation_id))
         current = await table.read(keys, timeout_s=timeout_s)
         if not isinstance(current, Done):
-            return _not_written(current)
+            return _refusal_of_failed_read(current)
         row, operation = current.value
         if operation is not None:
-            return await _outcome_before(table, operation, timeout_s=timeout_s)
-        revision = revision_of(row)
+            return await _previous_outcome(table, operation, timeout_s=timeout_s)
+        revision = parse_revision(row)
         if draft.exact_revision is not None and draft.exact_revision != revision:
-            return Refused(Reason.CONFLICT, f"the revision is {revision} now")
-        change = _change_of(draft, ConfigRevision(revision + 1))
-        transaction = _transaction_of(draft, change, row.version if row else 0)
+            return Refused(
+                Reason.CONFLICT,
+                f"expected revision {draft.exact_revision}, found {revision}",
+            )
+        change = _make_change(draft, ConfigRevision(revision + 1))
+        transaction = _make_transaction(draft, change, row.version if row else 0)
         outcome = await table.transact(transaction, timeout_s=timeout_s)
         if isinstance(outcome, Unknown):
             outcome = await _resolve_operation(table, draft, timeout_s=timeout_s)
@@ -110,19 +113,21 @@
             case Done():
                 return Done(change)
             case Refused(Reason.CONFLICT):
-                held = await _versions_hold(table, draft, timeout_s=timeout_s)
-                if not isinstance(held, Done):
-                    return held
+                checked = await _check_versions(table, draft, timeout_s=timeout_s)
+                if not isinstance(checked, Done):
+                    return checked
             case Refused() | Unknown():
                 return outcome
-    return Refused(Reason.CONFLICT, "other changes came first, again and again")
+    return Refused(
+        Reason.CONFLICT, f"other changes were committed first in {MAX_REBASES} attempts"
+    )
 
 
-def _not_written(failure: Refused | Unknown) -> Refused:
+def _refusal_of_failed_read(failure: Refused | Unknown) -> Refused:
     return Refused(failure.reason, failure.detail)
 
 
-def _change_of(draft: Draft, revision: ConfigRevision) -> Change:
+def _make_change(draft: Draft, revision: ConfigRevision) -> Change:
     return Change(
         revision,
         draft.operation_id,
@@ -134,7 +139,7 @@
     )
 
 
-def _transaction_of(draft: Draft, change: Change, row_version: int) -> Transaction:
+def _make_transaction(draft: Draft, change: Change, row_version: int) -> Transaction:
     writes: list[Write] = [
         Put(REVISION_KEY, {"revision": change.revision}, row_version),
         Put(change_key(change.revision), change_fields(change), 0),
@@ -155,32 +160,34 @@
 async def _resolve_operation(
     table: TablePort, draft: Draft, *, timeout_s: float
 ) -> Result[None]:
-    """Find out whether a write took effect whose answer was lost.
+    """Determine whether a write whose response was lost took effect.
 
-    Reading back is not enough: the write may still be under way and take
-    effect after the look. So the row of the operation id is claimed for
-    "abandoned". Where that succeeds the write can never take effect any more;
-    where the row exists, the row says which of the two came first.
+    Reading the row is not sufficient, because the write may still be in flight and
+    take effect after the read. The row of the operation id is therefore written with
+    the abandoned marker. If this succeeds, the write can no longer take effect. If the
+    row exists already, its content shows which of the two writes came first.
     """
     key = operation_key(draft.operation_id)
     claim = Transaction((Put(key, {"revision": _ABANDONED}, 0),))
     for _ in range(MAX_RESOLVES):
         claimed = await table.transact(claim, timeout_s=timeout_s)
         if isinstance(claimed, Done):
-            return Refused(Reason.ANSWER_LOST, "the write did not reach the table")
+            return Refused(Reason.ANSWER_LOST, "the write did not take effect")
         read = await table.read((key,), timeout_s=timeout_s)
         match read:
             case Done((Row(fields=fields),)) if fields["revision"] == _ABANDONED:
-                return Refused(Reason.ANSWER_LOST, "the write did not reach the table")
+                return Refused(Reason.ANSWER_LOST, "the write did not take effect")
             case Done((Row(),)):
                 return Done(None)
-    return Unknown(Reason.ANSWER_LOST, f"look for operation {draft.operation_id}")
+    return Unknown(
+        Reason.ANSWER_LOST, f"unknown outcome of operation {draft.operation_id}"
+    )
 
 
-async def _versions_hold(
+async def _check_versions(
     table: TablePort, draft: Draft, *, timeout_s: float
 ) -> Done[None] | Refused:
-    """Refuse where a document itself has moved on, so that a new start is in vain."""
+    """Refuse if a document of the draft has changed, as a retry would fail again."""
     expected = {name: version for name, version in draft.requires}
     for edit in draft.edits:
         name = edit.document.name if isinstance(edit, Edit) else edit.name
@@ -188,28 +195,28 @@
     keys = tuple(document_key(name) for name in expected)
     read = await table.read(keys, timeout_s=timeout_s)
     if not isinstance(read, Done):
-        return _not_written(read)
+        return _refusal_of_failed_read(read)
     for (name, version), row in zip(expected.items(), read.value):
         if (row.version if row else 0) != version:
-            return Refused(Reason.CONFLICT, f"{name} was changed in between")
+            return Refused(Reason.CONFLICT, f"{name} was changed concurrently")
     return Done(None)
 
 
-async def _outcome_before(
+async def _previous_outcome(
     table: TablePort, operation: Row, *, timeout_s: float
 ) -> Result[Change]:
-    """Return what an earlier run of the same operation did."""
+    """Return the outcome of an earlier run of the same operation."""
     revision = int(operation.fields["revision"])
     if revision == _ABANDONED:
-        detail = f"operation {operation.key.sort} was given up; use another id"
+        detail = f"operation {operation.key.sort} was abandoned; use another id"
         return Refused(Reason.KEY_CONFLICT, detail)
     read = await table.read((change_key(revision),), timeout_s=timeout_s)
     match read:
         case Done((Row() as row,)):
             try:
                 return Done(parse_change_row(row))
-            except MALFORMED as error:
-                return malformed(error)
+            except ROW_ERRORS as error:
+                return malformed_row(error)
         case Done():
             return Refused(Reason.NOT_FOUND, f"change {revision} is missing")
         case failure:
--- a/src/endivegw/configuration/documents.py
+++ b/src/endivegw/configuration/documents.py
@@ -1,8 +1,8 @@
-"""The configuration as operators write it, and the changes between revisions.
+"""Configuration documents as written by operators, and changes between revisions.
 
-A document is a template, a client account or a target. A change replaces or
-removes whole documents and takes the configuration from one revision to the
-next; applying it twice is the same as once.
+A document is a template, a client account or a target. A change replaces or removes
+complete documents and moves the configuration from one revision to the next.
+Changes are idempotent.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from endivegw.configuration.parameters import (
     Parameters,
     account_parameters,
-    layered,
+    merge_parameters,
 )
 from endivegw.exceptions import InvariantError
 from endivegw.types import ClientAccountName, ConfigRevision
@@ -43,7 +43,7 @@
 
 
 class DocumentKind(enum.Enum):
-    """What a document is about; the value is part of its row's key."""
+    """Kind of a document; the value is part of the key of its row."""
 
     TEMPLATE = "template"
     ACCOUNT = "account"
@@ -52,7 +52,7 @@
 
 @frozen(order=True)
 class DocumentName:
-    """Name one document."""
+    """Identify a document by its kind and name."""
 
     kind: DocumentKind = field(order=lambda kind: kind.value)
     name: str
@@ -76,10 +76,10 @@
 
 @frozen
 class AccountDocument:
-    """Hold a client account: its template, its keys and its own parameters.
+    """Hold a client account: its template, keys and parameters.
 
-    :param template: "" for an account without one.
-    :param parameters: what the account sets over its template.
+    :param template: name of the template; "" if the account has none.
+    :param parameters: parameters that override those of the template.
     """
 
     client_account: ClientAccountName
@@ -96,7 +96,7 @@
 
 @frozen
 class TargetDocument:
-    """Hold what operators say of a target."""
+    """Hold the configuration of a target."""
 
     parameters: TargetParameters
 
@@ -111,11 +111,12 @@
 
 @frozen
 class Change:
-    """Take the configuration from the revision before to ``revision``.
+    """Move the configuration from the previous revision to ``revision``.
 
     :param operation_id: chosen by the operator's command before the write.
-    :param at_s: when it was accepted, in seconds since 1970.
-    :param puts: documents in their new form, whole.
+    :param at_s: when the change was accepted, in seconds since 1970.
+    :param puts: new versions of documents, complete.
+    :param removed: names of removed documents.
     """
 
     revision: ConfigRevision
@@ -126,32 +127,32 @@
     puts: tuple[Document, ...] = ()
     removed: tuple[DocumentName, ...] = ()
 
-    def touches(self) -> frozenset[DocumentName]:
-        """Return the names of the documents that it replaces or removes."""
+    def affected_documents(self) -> frozenset[DocumentName]:
+        """Return the names of the documents that are replaced or removed."""
         return frozenset(document.name for document in self.puts) | set(self.removed)
 
 
 @frozen
 class Documents:
-    """Hold all documents under one revision."""
+    """Hold all documents of one revision."""
 
     revision: ConfigRevision
     by_name: Mapping[DocumentName, Document] = field(factory=dict)
 
     def template(self, name: str) -> TemplateDocument | None:
-        """Return a template, None where there is none of that name."""
-        found = self.by_name.get(DocumentName(DocumentKind.TEMPLATE, name))
-        return found if isinstance(found, TemplateDocument) else None
+        """Return a template, or None if there is none with this name."""
+        document = self.by_name.get(DocumentName(DocumentKind.TEMPLATE, name))
+        return document if isinstance(document, TemplateDocument) else None
 
     def account(self, name: str) -> AccountDocument | None:
-        """Return a client account, None where there is none of that name."""
-        found = self.by_name.get(DocumentName(DocumentKind.ACCOUNT, name))
-        return found if isinstance(found, AccountDocument) else None
+        """Return a client account, or None if there is none with this name."""
+        document = self.by_name.get(DocumentName(DocumentKind.ACCOUNT, name))
+        return document if isinstance(document, AccountDocument) else None
 
     def target(self, name: str) -> TargetDocument | None:
-        """Return a target, None where there is none of that name."""
-        found = self.by_name.get(DocumentName(DocumentKind.TARGET, name))
-        return found if isinstance(found, TargetDocument) else None
+        """Return a target, or None if there is none with this name."""
+        document = self.by_name.get(DocumentName(DocumentKind.TARGET, name))
+        return document if isinstance(document, TargetDocument) else None
 
     def accounts_of(self, template: str) -> tuple[AccountDocument, ...]:
         """Return the accounts that use a template."""
@@ -162,15 +163,15 @@
         )
 
 
-#: What a process knows before it has heard anything.
+#: Documents of a process that has not received a configuration yet.
 EMPTY_DOCUMENTS = Documents(ConfigRevision(0))
 
 
 def apply_change(documents: Documents, change: Change) -> Documents:
-    """Return the documents after the next change.
+    """Return the documents after applying the next change.
 
-    :raises InvariantError: where the change is not the next one. A gap would
-        leave one document behind for good while the revision says otherwise.
+    :raises InvariantError: if the change does not follow the revision directly. A gap
+        would leave a document permanently outdated under a newer revision.
     """
     if change.revision != documents.revision + 1:
         raise InvariantError(
@@ -185,22 +186,22 @@
 
 
 def resolve(documents: Documents) -> Snapshot:
-    """Return what daemons decide by: each account with its template applied."""
+    """Return the snapshot of the documents, with templates applied to accounts."""
     return resolve_changed(EMPTY_SNAPSHOT, documents, frozenset(documents.by_name))
 
 
 def resolve_changed(
     snapshot: Snapshot, documents: Documents, changed: frozenset[DocumentName]
 ) -> Snapshot:
-    """Return the snapshot of ``documents`` from an earlier one.
+    """Return the snapshot of ``documents``, updated from an earlier snapshot.
 
-    Only what a change touched is worked out again: at 280 accounts with
-    99,000 budgets a change of one account must not cost a pass over all of
-    them in each of 1,020 processes.
+    Only the changed documents are resolved again. With 280 accounts and 99,000
+    budgets, a change of one account must not require a pass over all accounts in each
+    of 1,020 processes.
     """
     accounts = dict(snapshot.accounts)
     targets = dict(snapshot.targets)
-    for name in _with_accounts_of_templates(documents, changed):
+    for name in _include_accounts_of_templates(documents, changed):
         match documents.by_name.get(name), name.kind:
             case AccountDocument() as account, _:
                 accounts[account.client_account] = _resolve_account(documents, account)
@@ -219,27 +220,27 @@
     )
 
 
-def _with_accounts_of_templates(
+def _include_accounts_of_templates(
     documents: Documents, changed: frozenset[DocumentName]
 ) -> set[DocumentName]:
     templates = {name.name for name in changed if name.kind is DocumentKind.TEMPLATE}
-    wanted = set(changed)
+    names = set(changed)
     if not templates:
-        return wanted
+        return names
     for name, document in documents.by_name.items():
         if isinstance(document, AccountDocument) and document.template in templates:
-            wanted.add(name)
-    return wanted
+            names.add(name)
+    return names
 
 
 def _resolve_account(
     documents: Documents, account: AccountDocument
 ) -> AccountParameters:
     template = documents.template(account.template)
-    lower = template.parameters if template else Parameters()
+    inherited = template.parameters if template else Parameters()
     return account_parameters(
         account.client_account,
-        layered(lower, account.parameters),
+        merge_parameters(inherited, account.parameters),
         key_hashes=account.key_hashes,
         template=account.template,
         enabled=account.enabled,
--- a/src/endivegw/configuration/ini.py
+++ b/src/endivegw/configuration/ini.py
@@ -1,4 +1,4 @@
-"""Templates and parameters as INI, with line and key in each error."""
+"""INI format of templates and parameters, with line and key in each error."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from endivegw.types import Priority
 
 __all__ = [
-    "IniMistake",
+    "IniDiagnostic",
     "TEMPLATE_SECTION",
     "format_parameters",
     "format_value",
@@ -30,11 +30,11 @@
 
 
 @frozen
-class IniMistake:
-    """Say what is wrong in which line.
+class IniDiagnostic:
+    """Describe an error in a template file or in parameter assignments.
 
-    :param line: counted from 1; 0 where the mistake is in no one line.
-    :param key: "" where the mistake is not in a key's value.
+    :param line: line number from 1; 0 if the error is not in a particular line.
+    :param key: key with the invalid value; "" if the error is not in a value.
     """
 
     line: int
@@ -42,57 +42,57 @@
     problem: str
 
     def __str__(self) -> str:
-        place = f"line {self.line}: " if self.line else ""
+        location = f"line {self.line}: " if self.line else ""
         key = f"{self.key}: " if self.key else ""
-        return f"{place}{key}{self.problem}"
+        return f"{location}{key}{self.problem}"
 
 
-def parse_template(text: str) -> Parameters | tuple[IniMistake, ...]:
-    """Return the parameters of a template file, or every mistake in it."""
+def parse_template(text: str) -> Parameters | tuple[IniDiagnostic, ...]:
+    """Parse a template file; return its parameters or all errors in it."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     try:
         parser.read_string(text)
     except configparser.DuplicateOptionError as error:
-        return (IniMistake(error.lineno or 0, error.option, "is given twice"),)
+        return (IniDiagnostic(error.lineno or 0, error.option, "is given twice"),)
     except configparser.DuplicateSectionError as error:
-        return (IniMistake(error.lineno or 0, "", f"second [{error.section}]"),)
+        return (IniDiagnostic(error.lineno or 0, "", f"second [{error.section}]"),)
     except configparser.MissingSectionHeaderError as error:
         problem = f"comes before the section [{TEMPLATE_SECTION}]"
-        return (IniMistake(error.lineno, error.line.strip(), problem),)
+        return (IniDiagnostic(error.lineno, error.line.strip(), problem),)
     except configparser.ParsingError as error:
         return tuple(
-            IniMistake(line, "", f"not understood: {content}")
+            IniDiagnostic(line, "", f"cannot parse: {content}")
             for line, content in error.errors
         )
     unexpected = [name for name in parser.sections() if name != TEMPLATE_SECTION]
     if unexpected:
         line = _line_of(text, f"[{unexpected[0]}]")
-        return (IniMistake(line, "", f"unknown section [{unexpected[0]}]"),)
+        return (IniDiagnostic(line, "", f"unknown section [{unexpected[0]}]"),)
     if parser.defaults():
         line = _line_of(text, f"[{parser.default_section}]")
-        return (IniMistake(line, "", f"unknown section [{parser.default_section}]"),)
+        return (IniDiagnostic(line, "", f"unknown section [{parser.default_section}]"),)
     if not parser.has_section(TEMPLATE_SECTION):
-        return (IniMistake(0, "", f"no section [{TEMPLATE_SECTION}]"),)
+        return (IniDiagnostic(0, "", f"no section [{TEMPLATE_SECTION}]"),)
     values = dict(parser[TEMPLATE_SECTION])
     return _parse_values(values, lambda key: _line_of_key(text, key))
 
 
 def parse_assignments(
     assignments: Mapping[str, str],
-) -> Parameters | tuple[IniMistake, ...]:
-    """Return the parameters of ``KEY=VALUE`` arguments, or every mistake."""
+) -> Parameters | tuple[IniDiagnostic, ...]:
+    """Parse ``KEY=VALUE`` arguments; return the parameters or all errors."""
     return _parse_values(assignments, lambda key: 0)
 
 
 def format_parameters(parameters: Parameters) -> str:
-    """Return parameters as a template file, which parses to the same again."""
+    """Return parameters as a template file that parses to equal parameters."""
     lines = [f"[{TEMPLATE_SECTION}]"]
     lines += [f"{name} = {text}" for name, text in value_texts(parameters).items()]
     return "\n".join(lines) + "\n"
 
 
 def value_texts(parameters: Parameters) -> dict[str, str]:
-    """Return the parameters that are set, as text by name."""
+    """Return the text of each parameter that is set, by name."""
     return {
         name: format_value(value)
         for name, value in asdict(parameters).items()
@@ -101,7 +101,7 @@
 
 
 def format_value(value: object) -> str:
-    """Return one parameter's value as it stands in a template file."""
+    """Return the value of a parameter in the format of template files."""
     match value:
         case None:
             return "(not set)"
@@ -112,7 +112,7 @@
         case tuple():
             return ", ".join(str(item) for item in value)
         case float():
-            # All digits: a file that is shown and taken back changes nothing.
+            # Full precision, so that applying a displayed file changes nothing.
             return repr(value).removesuffix(".0")
     return str(value)
 
@@ -134,23 +134,23 @@
 
 def _parse_values(
     values: Mapping[str, str], line_of: Callable[[str], int]
-) -> Parameters | tuple[IniMistake, ...]:
-    mistakes: list[IniMistake] = []
+) -> Parameters | tuple[IniDiagnostic, ...]:
+    errors: list[IniDiagnostic] = []
     parsed: dict[str, Any] = {}
     for key, text in values.items():
         if key not in PARAMETER_NAMES:
             known = ", ".join(PARAMETER_NAMES)
             problem = f"unknown parameter; known are {known}"
-            mistakes.append(IniMistake(line_of(key), key, problem))
+            errors.append(IniDiagnostic(line_of(key), key, problem))
             continue
         try:
             parsed[key] = _parse_value(key, text.strip())
             Parameters(**{key: parsed[key]})
         except ValueError as error:
             problem = str(error.args[0]) if error.args else "not allowed"
-            mistakes.append(IniMistake(line_of(key), key, problem))
-    if mistakes:
-        return tuple(mistakes)
+            errors.append(IniDiagnostic(line_of(key), key, problem))
+    if errors:
+        return tuple(errors)
     return Parameters(**parsed)
 
 
@@ -198,8 +198,8 @@
     try:
         return kind(text)
     except ValueError:
-        what = "whole number" if kind is int else "number"
-        raise ValueError(f"{text!r} is not a {what}") from None
+        expected = "whole number" if kind is int else "number"
+        raise ValueError(f"{text!r} is not a {expected}") from None
 
 
 def _parse_list(text: str) -> tuple[str, ...]:
--- a/src/endivegw/configuration/model.py
+++ b/src/endivegw/configuration/model.py
@@ -1,4 +1,4 @@
-"""The configuration as daemons hold it: one immutable snapshot per revision."""
+"""Resolved configuration of daemons: one immutable snapshot per revision."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class TargetKind(enum.Enum):
-    """What stands behind a sidecar."""
+    """Kind of the target behind a sidecar."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -36,18 +36,21 @@
 class AccountParameters:
     """Hold the parameters of one client account.
 
-    :param key_hashes: SHA-256 digests in hex of the account's bearer keys.
+    :param key_hashes: hexadecimal SHA-256 digests of the account's bearer keys.
     :param budgets: names of the account's budgets; the first is the default.
-    :param models: models that the account may use; ``model+adapter`` for a
-        model with an adapter.
+    :param models: models that the account may use; ``model+adapter`` for a model
+        with an adapter.
     :param services: plain services that the account may call.
     :param repeatable_paths: path prefixes of plain services whose calls may be
-        repeated; calls outside of them may not.
+        repeated. Calls to other paths may not.
     :param repeatable_generations: whether the account's engine requests may be
-        repeated where the caller does not say otherwise.
-    :param weight: fair share of the account beside the others.
-    :param reserve_s: for how many seconds of demand routers hold tokens in
-        hand; more serves longer without the table and strands more.
+        repeated unless the caller specifies otherwise.
+    :param weight: weight of the account in fair sharing with other accounts.
+    :param max_output_tokens: limit of output tokens per request.
+    :param reserve_s: seconds of demand for which routers hold tokens. A larger
+        reserve lasts longer without the table and leaves more tokens unused.
+    :param template: name of the account's template; "" if there is none.
+    :param enabled: whether the account's keys are accepted.
     """
 
     client_account: ClientAccountName
@@ -65,18 +68,18 @@
     enabled: bool = True
 
     def default_budget(self) -> BudgetKey:
-        """Return the budget that is charged where the caller names none."""
+        """Return the budget charged for requests that do not name one."""
         return BudgetKey(self.client_account, self.budgets[0])
 
 
 @frozen
 class TargetParameters:
-    """Hold what operators say of one target.
+    """Hold the configuration of one target.
 
-    :param serves: model or service names that the target is meant to serve.
-    :param checks_fence: whether the target itself refuses old orders.
-    :param drained: whether operators want no new work on it.
-    :param stopped: whether its sidecar shall also end once its work is done.
+    :param serves: names of the models or services that the target should serve.
+    :param checks_fence: whether the target itself refuses outdated orders.
+    :param drained: whether the target should get no new work.
+    :param stopped: whether its sidecar should also stop after finishing its work.
     """
 
     target: TargetName
@@ -91,22 +94,22 @@
 
 @frozen
 class Snapshot:
-    """Hold the whole configuration under one revision.
+    """Hold the complete configuration of one revision.
 
-    :param revision: 0 for a process that has heard of none yet.
+    :param revision: 0 if the process has not received a configuration yet.
     """
 
     revision: ConfigRevision
     accounts: Mapping[ClientAccountName, AccountParameters] = field(factory=dict)
     targets: Mapping[TargetName, TargetParameters] = field(factory=dict)
 
-    def account_of_key_hash(self, key_hash: str) -> AccountParameters | None:
-        """Return the enabled account that holds a key, None where none does."""
+    def find_account_by_key_hash(self, key_hash: str) -> AccountParameters | None:
+        """Return the enabled account with a key, or None if there is none."""
         for account in self.accounts.values():
             if account.enabled and key_hash in account.key_hashes:
                 return account
         return None
 
 
-#: What a fresh process has: nothing, and so it serves nothing.
+#: Configuration of a new process; no requests are served with it.
 EMPTY_SNAPSHOT = Snapshot(ConfigRevision(0))
--- a/src/endivegw/configuration/objects.py
+++ b/src/endivegw/configuration/objects.py
@@ -1,8 +1,8 @@
-"""The copy of the configuration in the object store, where fresh processes start.
+"""Copy of the configuration in the object store, loaded by new processes first.
 
-Two objects: a small one names the revision of the large one, so that a look
-costs a few bytes. Their order of writing does not matter, since a process
-takes nothing that is older than what it has.
+There are two objects: a small one contains the revision of the large one, so that a
+check transfers only a few bytes. The order in which they are written is irrelevant,
+because a process accepts no configuration older than its own.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 __all__ = ["read_newer_object", "write_object"]
 
-_POINTER = "config/revision"
-_COPY = "config/documents"
+_REVISION_OBJECT = "config/revision"
+_DOCUMENTS_OBJECT = "config/documents"
 
 
 async def read_newer_object(
     objects: ObjectStorePort, have: ConfigRevision, *, timeout_s: float
 ) -> Result[ConfigMessage | None]:
-    """Return the stored copy, None where it is no newer than ``have``."""
-    pointer = await _read_pointer(objects, timeout_s=timeout_s)
-    if not isinstance(pointer, Done):
-        return pointer
-    revision, _ = pointer.value
+    """Return the stored copy, or None if it is not newer than ``have``."""
+    stored_revision = await _read_revision(objects, timeout_s=timeout_s)
+    if not isinstance(stored_revision, Done):
+        return stored_revision
+    revision, _ = stored_revision.value
     if revision <= have:
         return Done(None)
-    stored = await objects.get(_COPY, timeout_s=timeout_s)
+    stored = await objects.get(_DOCUMENTS_OBJECT, timeout_s=timeout_s)
     if not isinstance(stored, Done):
         return stored
     match await anyio.to_thread.run_sync(parse_message, stored.value.body):
@@ -49,43 +49,49 @@
 async def write_object(
     objects: ObjectStorePort, documents: Documents, *, timeout_s: float
 ) -> Result[bool]:
-    """Store a copy; return False where one as new is there already."""
-    pointer = await _read_pointer(objects, timeout_s=timeout_s)
-    if not isinstance(pointer, Done):
-        return pointer
-    revision, tag = pointer.value
+    """Store a copy; return False if the stored copy is already as new."""
+    stored_revision = await _read_revision(objects, timeout_s=timeout_s)
+    if not isinstance(stored_revision, Done):
+        return stored_revision
+    revision, tag = stored_revision.value
     if revision >= documents.revision:
         return Done(False)
-    # A tenth of a second at the target size, in which a router must go on
-    # answering; the thread gives way to it between two documents.
+    # Encoding takes 0.1 s at the intended size, during which a router must continue to
+    # serve requests. The worker thread yields to the event loop between documents.
     message = DocumentsMessage(documents)
     body = await anyio.to_thread.run_sync(encode_message, message)
-    stored = await objects.put(_COPY, body, expected_tag=None, timeout_s=timeout_s)
+    stored = await objects.put(
+        _DOCUMENTS_OBJECT, body, expected_tag=None, timeout_s=timeout_s
+    )
     if not isinstance(stored, Done):
         return stored
     text = str(documents.revision).encode()
-    moved = await objects.put(_POINTER, text, expected_tag=tag, timeout_s=timeout_s)
-    match moved:
+    updated = await objects.put(
+        _REVISION_OBJECT, text, expected_tag=tag, timeout_s=timeout_s
+    )
+    match updated:
         case Done():
             return Done(True)
         case Refused(Reason.CONFLICT):
-            # Another process moved it meanwhile, and its copy may be newer
-            # than the one just stored. The next change mends a copy that went
-            # back; until then fresh processes read a few changes more.
+            # Another process updated the revision concurrently, and its copy may have
+            # been newer than the one just stored. The next change replaces an outdated
+            # copy; until then new processes read a few more changes from the table.
             return Done(False)
         case failure:
             return failure
 
 
-async def _read_pointer(
+async def _read_revision(
     objects: ObjectStorePort, *, timeout_s: float
 ) -> Result[tuple[ConfigRevision, str]]:
-    match await objects.get(_POINTER, timeout_s=timeout_s):
+    match await objects.get(_REVISION_OBJECT, timeout_s=timeout_s):
         case Done(stored):
             try:
                 return Done((ConfigRevision(int(stored.body)), stored.tag))
             except ValueError:
-                return Refused(Reason.BAD_REQUEST, f"{_POINTER} is no number")
+                return Refused(
+                    Reason.BAD_REQUEST, f"{_REVISION_OBJECT} is not a number"
+                )
         case Refused(Reason.NOT_FOUND):
             return Done((ConfigRevision(0), ""))
         case failure:
--- a/src/endivegw/configuration/parameters.py
+++ b/src/endivegw/configuration/parameters.py
@@ -1,4 +1,4 @@
-"""The parameters that a template shares and an account may set for itself."""
+"""Parameters that templates share and accounts may override."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from endivegw.configuration.model import AccountParameters
 from endivegw.types import ClientAccountName, Priority
 
-__all__ = ["PARAMETER_NAMES", "Parameters", "account_parameters", "layered"]
+__all__ = ["PARAMETER_NAMES", "Parameters", "account_parameters", "merge_parameters"]
 
 
 def _optional_range(low: float, high: float) -> Any:
@@ -18,9 +18,9 @@
 
 @frozen
 class Parameters:
-    """Hold those parameters that one document sets; None leaves one unset.
+    """Hold the parameters that one document sets; None if a parameter is not set.
 
-    The meaning of each is that of the field of the same name of
+    Each parameter has the meaning of the field with the same name in
     :class:`endivegw.configuration.AccountParameters`.
     """
 
@@ -37,14 +37,14 @@
     reserve_s: float | None = field(default=None, validator=_optional_range(0, 86_400))
 
 
-#: The names that templates and ``account set`` accept.
+#: Parameter names that templates and the ``account set`` command accept.
 PARAMETER_NAMES: tuple[str, ...] = tuple(fields_dict(Parameters))
 
 
-def layered(lower: Parameters, upper: Parameters) -> Parameters:
-    """Return ``lower`` with everything replaced that ``upper`` sets."""
-    values = _set_values(lower)
-    values.update(_set_values(upper))
+def merge_parameters(base: Parameters, overrides: Parameters) -> Parameters:
+    """Return ``base`` with the parameters that ``overrides`` sets replaced."""
+    values = _set_values(base)
+    values.update(_set_values(overrides))
     return Parameters(**values)
 
 
@@ -56,7 +56,7 @@
     template: str,
     enabled: bool,
 ) -> AccountParameters:
-    """Return what daemons hold of an account; unset parameters have defaults."""
+    """Return the resolved parameters of an account, with defaults for unset ones."""
     return AccountParameters(
         client_account,
         key_hashes=key_hashes,
--- a/src/endivegw/configuration/reports.py
+++ b/src/endivegw/configuration/reports.py
@@ -1,9 +1,9 @@
-"""Which daemon has which revision, as operators see it.
+"""Adoption reports: which configuration revision each daemon has.
 
-A thousand daemons that each wrote a row for each change would take 200 writes
-a second from budgets for five seconds. Routers hear the revision of sidecars
-with each heartbeat anyway; so each router writes one row, of its own revision
-and those it heard, and a sidecar writes nothing.
+If a thousand daemons each wrote a row per change, they would take 200 writes per
+second from budgets for five seconds. Routers receive the revisions of sidecars with
+each heartbeat, so each router writes a single row with its own revision and those it
+received, and sidecars write none.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 __all__ = [
     "AdoptionReport",
     "DaemonRevision",
-    "LIVE_S",
+    "LIVENESS_WINDOW_S",
     "daemon_revisions",
     "load_reports",
     "write_report",
@@ -28,29 +28,30 @@
 
 _PARTITION = "config-report"
 
-#: A daemon counts as live when a router wrote of it within this: two of the
-#: minute-long intervals of unchanged reports and their spread.
-LIVE_S = 150.0
+#: A daemon is live if it was reported within this time, in seconds. This covers two of
+#: the one-minute intervals of unchanged reports with their jitter.
+LIVENESS_WINDOW_S = 150.0
 
 
 @frozen
 class AdoptionReport:
-    """Hold what one router says.
+    """Hold the adoption report of one router.
 
-    :param daemon: the router's name, which its replacement takes over.
-    :param at_s: when it was written, in seconds since 1970.
-    :param heard: revision by name of each daemon it heard of late.
+    :param daemon: the router's name, which its replacement inherits.
+    :param at_s: when the report was written, in seconds since 1970.
+    :param peer_revisions: revision of each daemon that the router received a message
+        from recently, by name.
     """
 
     daemon: str
     revision: ConfigRevision
     at_s: float
-    heard: Mapping[str, ConfigRevision]
+    peer_revisions: Mapping[str, ConfigRevision]
 
 
 @frozen
 class DaemonRevision:
-    """Hold the last word on one daemon."""
+    """Hold the last reported revision of one daemon."""
 
     daemon: str
     revision: ConfigRevision
@@ -60,14 +61,14 @@
 async def write_report(
     table: TablePort, report: AdoptionReport, *, timeout_s: float
 ) -> Result[None]:
-    """Write a router's report over its last one.
+    """Write a router's report, replacing its previous one.
 
-    A lost answer does no harm: the next report says more.
+    A lost response is harmless, because the next report replaces this one.
     """
     fields: dict[str, str | int] = {
         "revision": report.revision,
         "at_ms": int(report.at_s * 1000),
-        "heard": json.dumps(dict(report.heard), separators=(",", ":")),
+        "heard": json.dumps(dict(report.peer_revisions), separators=(",", ":")),
     }
     put = Put(RowKey(_PARTITION, report.daemon), fields, None)
     return await table.transact(Transaction((put,)), timeout_s=timeout_s)
@@ -76,7 +77,7 @@
 async def load_reports(
     table: TablePort, *, timeout_s: float
 ) -> Result[tuple[AdoptionReport, ...]]:
-    """Return all routers' reports, old ones too."""
+    """Return the reports of all routers, including outdated ones."""
     reports: list[AdoptionReport] = []
     after: str | None = None
     while True:
@@ -92,16 +93,16 @@
 def daemon_revisions(
     reports: tuple[AdoptionReport, ...], now_s: float
 ) -> tuple[DaemonRevision, ...]:
-    """Return the latest word on each live daemon, by name."""
+    """Return the last reported revision of each live daemon, ordered by name."""
     latest: dict[str, DaemonRevision] = {}
     for report in sorted(reports, key=lambda report: report.at_s):
-        if now_s - report.at_s > LIVE_S:
+        if now_s - report.at_s > LIVENESS_WINDOW_S:
             continue
-        for daemon, revision in report.heard.items():
+        for daemon, revision in report.peer_revisions.items():
             latest[daemon] = DaemonRevision(daemon, revision, report.at_s)
-    # A router's word on itself goes before what others heard of it.
+    # A router's report on itself takes precedence over reports by other routers.
     for report in reports:
-        if now_s - report.at_s <= LIVE_S:
+        if now_s - report.at_s <= LIVENESS_WINDOW_S:
             latest[report.daemon] = DaemonRevision(
                 report.daemon, report.revision, report.at_s
             )
@@ -109,10 +110,13 @@
 
 
 def _parse(row: Row) -> AdoptionReport:
-    heard = json.loads(str(row.fields["heard"]))
+    peer_revisions = json.loads(str(row.fields["heard"]))
     return AdoptionReport(
         row.key.sort,
         ConfigRevision(int(row.fields["revision"])),
         int(row.fields["at_ms"]) / 1000,
-        {str(name): ConfigRevision(int(value)) for name, value in heard.items()},
+        {
+            str(name): ConfigRevision(int(value))
+            for name, value in peer_revisions.items()
+        },
     )
--- a/src/endivegw/configuration/rows.py
+++ b/src/endivegw/configuration/rows.py
@@ -1,7 +1,7 @@
-"""The rows that the configuration keeps in the platform's table.
+"""Rows of the configuration in the platform's table.
 
-One revision row; one row for each document; one row for each change, which
-holds the changed documents whole; one row for each operation id.
+There is one row for the revision, one per document, one per change, which contains
+the changed documents completely, and one per operation id.
 """
 
 from __future__ import annotations
@@ -19,31 +19,31 @@
 
 __all__ = [
     "CHANGE_PARTITION",
-    "MALFORMED",
     "REVISION_KEY",
+    "ROW_ERRORS",
     "change_fields",
     "change_key",
     "document_key",
     "document_partition",
-    "malformed",
+    "malformed_row",
     "operation_key",
     "parse_change_row",
     "parse_document_row",
-    "revision_of",
+    "parse_revision",
 ]
 
 REVISION_KEY = RowKey("config", "revision")
 CHANGE_PARTITION = "config-change"
 _OPERATION_PARTITION = "config-operation"
 
-#: What parsing raises on a row that somebody wrote by hand, or that a newer
-#: version wrote. A daemon must not end over it, which would end the answers in
-#: progress too; it keeps the revision that it has, and operators see it lag.
-MALFORMED = (KeyError, TypeError, ValueError)
+#: Exceptions raised when parsing a row that was written manually or by a newer version.
+#: They must not terminate a daemon, which would also interrupt responses in progress.
+#: The daemon keeps its revision, and adoption reports show operators that it lags.
+ROW_ERRORS = (KeyError, TypeError, ValueError)
 
 
 def document_partition(kind: DocumentKind) -> str:
-    """Return the partition of the documents of one kind."""
+    """Return the partition that contains the documents of one kind."""
     return f"config-{kind.value}"
 
 
@@ -53,17 +53,17 @@
 
 
 def change_key(revision: int) -> RowKey:
-    """Return the key of a change's row; they sort by revision."""
+    """Return the key of a change's row; the keys sort by revision."""
     return RowKey(CHANGE_PARTITION, f"{revision:012d}")
 
 
 def operation_key(operation_id: str) -> RowKey:
-    """Return the key of the row that makes an operation take effect once."""
+    """Return the key of the row that ensures an operation takes effect only once."""
     return RowKey(_OPERATION_PARTITION, operation_id)
 
 
-def revision_of(row: Row | None) -> ConfigRevision:
-    """Return the revision that its row holds, 0 where there is none."""
+def parse_revision(row: Row | None) -> ConfigRevision:
+    """Return the revision in its row, or 0 if there is no row."""
     return ConfigRevision(int(row.fields["revision"]) if row else 0)
 
 
@@ -79,7 +79,10 @@
 
 
 def parse_change_row(row: Row) -> Change:
-    """Return the change of a row; raises one of :data:`MALFORMED`."""
+    """Parse a change from its row.
+
+    :raises ROW_ERRORS: if the row is malformed.
+    """
     fields = row.fields
     return parse_change(
         int(row.key.sort),
@@ -92,12 +95,15 @@
 
 
 def parse_document_row(row: Row) -> Document:
-    """Return the document of a row; raises one of :data:`MALFORMED`."""
+    """Parse a document from its row.
+
+    :raises ROW_ERRORS: if the row is malformed.
+    """
     kind = DocumentKind(row.key.partition.removeprefix("config-"))
     name = DocumentName(kind, row.key.sort)
     return parse_document(name, str(row.fields["document"]))
 
 
-def malformed(error: Exception) -> Refused:
-    """Return the refusal of a read that met such a row."""
-    return Refused(Reason.BAD_REQUEST, f"malformed row of configuration: {error!r}")
+def malformed_row(error: Exception) -> Refused:
+    """Return the refusal of a read that found a malformed row."""
+    return Refused(Reason.BAD_REQUEST, f"malformed configuration row: {error!r}")
--- a/src/endivegw/configuration/spread_actions.py
+++ b/src/endivegw/configuration/spread_actions.py
@@ -1,4 +1,4 @@
-"""What a process may be told to do for its configuration."""
+"""Actions that the scheduler requests to update or store the configuration."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 
 __all__ = [
     "Action",
-    "PullPeer",
-    "ReadAllFromTable",
+    "PullFromPeer",
+    "ReadAllDocuments",
     "ReadChanges",
     "ReadObject",
-    "Report",
     "WriteObject",
+    "WriteReport",
 ]
 
 
 @frozen
 class ReadChanges:
-    """Ask the table for the changes behind a revision; most often there are none."""
+    """Read the changes after a revision from the table; usually there are none."""
 
     after: ConfigRevision
 
 
 @frozen
-class ReadAllFromTable:
-    """Ask the table for all documents, where changes do not suffice."""
+class ReadAllDocuments:
+    """Read all documents from the table, if the changes are not sufficient."""
 
 
 @frozen
-class PullPeer:
-    """Ask a peer for what it has beyond a revision."""
+class PullFromPeer:
+    """Request the changes after a revision from a peer."""
 
     peer: InstanceId
     have: ConfigRevision
@@ -39,17 +39,24 @@
 
 @frozen
 class ReadObject:
-    """Look whether the object store has a newer revision, and take it."""
+    """Read the configuration from the object store if its revision is newer."""
 
 
 @frozen
 class WriteObject:
-    """Put the configuration into the object store, unless a newer one is there."""
+    """Write the configuration to the object store unless it has a newer one."""
 
 
 @frozen
-class Report:
-    """Write down which revision this process and its peers have."""
-
-
-Action = ReadChanges | ReadAllFromTable | PullPeer | ReadObject | WriteObject | Report
+class WriteReport:
+    """Write an adoption report with the revisions of this process and its peers."""
+
+
+Action = (
+    ReadChanges
+    | ReadAllDocuments
+    | PullFromPeer
+    | ReadObject
+    | WriteObject
+    | WriteReport
+)
--- a/src/endivegw/configuration/spread_settings.py
+++ b/src/endivegw/configuration/spread_settings.py
@@ -1,52 +1,56 @@
-"""How often a process asks for a newer configuration, and why so often."""
+"""Intervals and limits for the synchronization of the configuration."""
 
 from __future__ import annotations
 
 from attrs import frozen
 
-__all__ = ["SpreadSettings"]
+__all__ = ["SyncSettings"]
 
 
 @frozen
-class SpreadSettings:
-    """Hold how often a process asks; worked out for 1,020 processes.
+class SyncSettings:
+    """Hold the intervals and limits of the scheduler, designed for 1,020 processes.
 
-    :param poll_s: mean time between two polls of the table, drawn from 3/4 to
-        5/4 of it. Three seconds make 340 reads a second, a sixth of what the
-        table bears. A process that no peer reaches waits 3.75 s at most; the
-        rest of the 7 s is for a slow answer, or for the way over peers where
-        one router alone reaches the table.
-    :param load_reads: calls of the table that load all documents.
-    :param load_reads_hz: such calls a second when the whole fleet starts; the
-        other half of what the table bears is for budgets.
-    :param pull_jitter_s: a process that hears a higher revision waits up to
-        this, so that the 30 receivers of one heartbeat round do not all ask
-        its sender in the same millisecond.
-    :param pull_timeout_s: longest wait for a peer; regions are 0.1 s apart.
-    :param pull_retry_s: a peer that did not answer is passed over for this,
-        then for twice as long and so on, and others are asked at once. In a
-        one-way cut a process goes on to hear peers that cannot hear it;
-        without the pause it would ask them again and again and come to the
-        one that answers late or never.
-    :param longest_retry_s: the pause grows up to this.
-    :param object_read_s: mean time between two looks into the object store,
-        only while the table does not answer: 68 reads a second in all.
-    :param table_silent_s: the table counts as away when it has not answered
-        for so long; two polls and a timeout.
-    :param object_write_s: an adopted change is written to the object store
-        within this. The object is where fresh processes start from, not how
-        changes travel, so it may lag.
-    :param object_writers: how many processes consider writing it; the first
-        does, the others find it done. One alone may die before it writes.
-    :param report_spread_s: a router reports between half of this and this
-        after it adopted a revision, and again after it heard that a peer has
-        another one than it reported. Most peers follow within the first wait,
-        so that a change costs a router 1.3 reports. 370 routers make 186
-        writes in the busiest second, of several hundred that the table bears.
-    :param reported_s: a peer heard within this is in the report; a few
-        heartbeats, so that a dead one is soon missed.
-    :param report_s: an unchanged report is written again after this, by which
-        operators see that the daemon lives: 6 writes a second in all.
+    :param poll_s: mean interval between polls of the table, in seconds; each is drawn
+        from 3/4 to 5/4 of it. Three seconds make 340 reads per second, a sixth of the
+        table's capacity. A process that no peer reaches waits at most 3.75 s; the rest
+        of the limit of 7 s is for a slow response, or for propagation through peers if
+        a single router reaches the table.
+    :param load_reads: calls to the table for one complete load.
+    :param load_reads_hz: calls per second for complete loads when the whole fleet
+        starts. The other half of the table's capacity is for budgets.
+    :param pull_jitter_s: longest random delay before pulling a higher revision, in
+        seconds, so that the 30 receivers of one heartbeat round do not all send a
+        request to its sender in the same millisecond.
+    :param pull_timeout_s: longest wait for a peer's response, in seconds; the round
+        trip between regions takes 0.1 s.
+    :param pull_retry_s: initial back-off for a peer that did not respond, in seconds;
+        doubled with each further failure. Other peers are tried at once. In a one-way
+        partition a process receives messages from peers that it cannot reach. Without
+        the back-off it would retry these peers repeatedly, and reach a responding peer
+        late or never.
+    :param max_retry_s: limit of the back-off, in seconds.
+    :param object_read_s: mean interval between polls of the object store, in seconds,
+        only while the table is unavailable; 68 reads per second in all.
+    :param table_unavailable_after_s: time without a response after which the table
+        counts as unavailable, in seconds; covers two polls and a timeout.
+    :param object_write_s: longest delay until an adopted change is written to the
+        object store, in seconds. The object store serves the start of processes and
+        not the propagation of changes, so it may lag.
+    :param object_writers: mean number of processes that try to write a change to the
+        object store. The first one writes it, the others find it written. A single
+        process might terminate before writing.
+    :param report_spread_s: longest delay of an adoption report, in seconds, drawn from
+        half of it to all of it. A router reports after it adopts a revision and after
+        a peer's revision differs from the reported one. Most peers follow within the
+        first delay, so that a change costs 1.3 reports per router. 370 routers make
+        186 writes in the busiest second, of several hundred that the table can handle.
+    :param report_window_s: a report contains the peers from which a message was
+        received within this time, in seconds. It covers a few heartbeats, so that a
+        dead peer is soon left out.
+    :param report_s: mean interval at which an unchanged report is written again, in
+        seconds, which shows operators that the daemon is alive; 6 writes per second in
+        all.
     """
 
     poll_s: float = 3.0
@@ -55,11 +59,11 @@
     pull_jitter_s: float = 0.2
     pull_timeout_s: float = 1.0
     pull_retry_s: float = 1.0
-    longest_retry_s: float = 16.0
+    max_retry_s: float = 16.0
     object_read_s: float = 15.0
-    table_silent_s: float = 9.0
+    table_unavailable_after_s: float = 9.0
     object_write_s: float = 60.0
     object_writers: int = 8
     report_spread_s: float = 5.0
-    reported_s: float = 30.0
+    report_window_s: float = 30.0
     report_s: float = 60.0
--- a/src/endivegw/configuration/store.py
+++ b/src/endivegw/configuration/store.py
@@ -17,14 +17,14 @@
 from endivegw.configuration.model import AccountParameters, Snapshot
 from endivegw.configuration.rows import (
     CHANGE_PARTITION,
-    MALFORMED,
     REVISION_KEY,
+    ROW_ERRORS,
     document_key,
     document_partition,
-    malformed,
+    malformed_row,
     parse_change_row,
     parse_document_row,
-    revision_of,
+    parse_revision,
 )
 from endivegw.exceptions import PlatformError
 from endivegw.results import Done, Reason, Refused, Result, Unknown
@@ -43,13 +43,13 @@
     "load_snapshot",
 ]
 
-#: Rows in one page of a listing.
+#: Maximum rows per page of a scan.
 _PAGE_ROWS = 1000
 
 
 @frozen
 class VersionedDocument:
-    """Hold a document with its row's version; 0 where there is none."""
+    """Hold a document and the version of its row; 0 if there is no row."""
 
     version: int
     document: Document | None
@@ -58,30 +58,32 @@
 async def load_revision(
     table: TablePort, *, timeout_s: float
 ) -> Result[ConfigRevision]:
-    """Return the present revision, 0 in an empty table."""
+    """Return the current revision, or 0 if the table is empty."""
     match await table.read((REVISION_KEY,), timeout_s=timeout_s):
         case Done((row,)):
-            return Done(revision_of(row))
+            return Done(parse_revision(row))
         case Refused() | Unknown() as failure:
             return failure
-    raise PlatformError("the table answered a read of one row with another number")
+    raise PlatformError(
+        "the table did not return exactly one row for a read of one row"
+    )
 
 
 async def load_changes(
     table: TablePort, after: ConfigRevision, *, timeout_s: float
 ) -> Result[tuple[Change, ...]]:
-    """Return all changes behind a revision, without a gap.
+    """Return all changes after a revision, without gaps.
 
-    This is what a daemon reads when it lags: one query, of which each row was
-    written with its revision and never changes, so it needs no second look.
+    Daemons that lag catch up with this single query. The row of a change is written
+    together with its revision and never modified, so one read is consistent.
     """
     rows = await _scan(table, CHANGE_PARTITION, f"{after:012d}", timeout_s)
     if not isinstance(rows, Done):
         return rows
     try:
         changes = tuple(parse_change_row(row) for row in rows.value)
-    except MALFORMED as error:
-        return malformed(error)
+    except ROW_ERRORS as error:
+        return malformed_row(error)
     for number, change in enumerate(changes, start=after + 1):
         if change.revision != number:
             return Refused(Reason.NOT_FOUND, f"change {number} is missing")
@@ -91,10 +93,10 @@
 async def load_documents(table: TablePort, *, timeout_s: float) -> Result[Documents]:
     """Return all documents of one revision.
 
-    A change may be committed between two pages. The revision is read first
-    and the changes behind it last; applying these over the rows that were read
-    replaces each document that could stem from a later revision, so that the
-    result is that of one revision without locks or a second pass.
+    A change may be committed between reads of two pages. The revision is therefore
+    read first and the changes after it are read last. Applying these changes replaces
+    each document that may be of a later revision, so that the result is consistent
+    without locks or a second pass.
     """
     revision = await load_revision(table, timeout_s=timeout_s)
     if not isinstance(revision, Done):
@@ -108,8 +110,8 @@
             for row in rows.value:
                 document = parse_document_row(row)
                 by_name[document.name] = document
-        except MALFORMED as error:
-            return malformed(error)
+        except ROW_ERRORS as error:
+            return malformed_row(error)
     changes = await load_changes(table, revision.value, timeout_s=timeout_s)
     if not isinstance(changes, Done):
         return changes
@@ -122,7 +124,7 @@
 async def load_document_versions(
     table: TablePort, *, timeout_s: float
 ) -> Result[dict[DocumentName, int]]:
-    """Return the version of each document's row, for a change of many."""
+    """Return the row version of each document, for changes of many documents."""
     versions: dict[DocumentName, int] = {}
     for kind in DocumentKind:
         rows = await _scan(table, document_partition(kind), None, timeout_s)
@@ -134,7 +136,7 @@
 
 
 async def load_snapshot(table: TablePort, *, timeout_s: float) -> Result[Snapshot]:
-    """Return the configuration of one revision as daemons hold it."""
+    """Return the resolved configuration of one revision."""
     documents = await load_documents(table, timeout_s=timeout_s)
     if not isinstance(documents, Done):
         return documents
@@ -144,24 +146,26 @@
 async def load_document(
     table: TablePort, name: DocumentName, *, timeout_s: float
 ) -> Result[VersionedDocument]:
-    """Return one document and its row's version."""
+    """Return one document and the version of its row."""
     match await table.read((document_key(name),), timeout_s=timeout_s):
         case Done((None,)):
             return Done(VersionedDocument(0, None))
         case Done((Row() as row,)):
             try:
                 return Done(VersionedDocument(row.version, parse_document_row(row)))
-            except MALFORMED as error:
-                return malformed(error)
+            except ROW_ERRORS as error:
+                return malformed_row(error)
         case Refused() | Unknown() as failure:
             return failure
-    raise PlatformError("the table answered a read of one row with another number")
+    raise PlatformError(
+        "the table did not return exactly one row for a read of one row"
+    )
 
 
 async def load_account_parameters(
     table: TablePort, client_account: str, *, timeout_s: float
 ) -> Result[AccountParameters]:
-    """Return one account's parameters with its template applied."""
+    """Return the parameters of one account with its template applied."""
     name = DocumentName(DocumentKind.ACCOUNT, client_account)
     account = await load_document(table, name, timeout_s=timeout_s)
     if not isinstance(account, Done):
--- a/src/endivegw/configuration/view.py
+++ b/src/endivegw/configuration/view.py
@@ -1,10 +1,9 @@
-"""The configuration that one process holds, and whether it may serve by it.
+"""Configuration of one process, and whether the process may serve requests with it.
 
-What goes wrong without this module: a process takes in an old copy of the
-configuration, from a slow peer or an old object, and gives a blocked account
-or a drained target work again. Operators would notice a change that holds and
-then does not. Every copy therefore passes here, and none with a lower revision
-gets in.
+Every received copy of the configuration passes through this module, which rejects
+copies with a lower revision. Otherwise a process could accept an outdated copy from a
+slow peer or the object store, and requests of a blocked account or for a drained
+target would be served again after the change had already been in force.
 """
 
 from __future__ import annotations
@@ -34,52 +33,53 @@
     "Adopted",
     "ConfigurationView",
     "Gap",
-    "KEPT_CHANGES",
+    "MAX_RETAINED_CHANGES",
     "NothingNew",
-    "PeerWord",
+    "PeerRevision",
     "ReadinessRule",
-    "enough_peers",
+    "is_peer_quorum",
 ]
 
-#: Changes kept to answer peers that lag. At 1,000 changes a day these are the
-#: last six hours; a peer that lags more gets the whole configuration.
-KEPT_CHANGES = 256
+#: Number of changes retained for peers that lag. At 1,000 changes a day they cover the
+#: last six hours; a peer that lags more gets the complete configuration.
+MAX_RETAINED_CHANGES = 256
 
 
 @frozen
 class ReadinessRule:
-    """Say how many peers stand in for the table while it is away.
-
-    :param peers: processes that serve. One may have been cut off from the
-        table before the others were; three with links of their own have not
-        missed a change that was in force everywhere within seconds.
-    :param zones: availability zones that these lie in, because a zone is what
-        gets cut off as a whole.
-    :param fresh_s: how long a peer's word counts; a few heartbeats.
+    """Define how many peers can replace the table while it is unavailable.
+
+    :param peers: required number of processes that serve requests. A single one may
+        have lost the table before the others; three with independent connections have
+        not missed a change that was in force everywhere within seconds.
+    :param zones: required number of availability zones of these processes, because a
+        zone may be partitioned as a whole.
+    :param freshness_s: time for which a peer's revision counts, in seconds; covers a
+        few heartbeats.
     """
 
     peers: int = 3
     zones: int = 2
-    fresh_s: float = 10.0
+    freshness_s: float = 10.0
 
 
 @frozen
-class PeerWord:
-    """Hold what a message's header said of its sender.
+class PeerRevision:
+    """Hold the revision that a peer announced in a message header.
 
-    :param revision: 0 from a process that may not serve yet; it vouches for
-        nothing, so that fresh processes cannot vouch for each other.
+    :param revision: 0 from a process that may not serve requests yet. It does not
+        count, so that new processes cannot make each other ready.
     """
 
     peer: InstanceId
     availability_zone: AvailabilityZone
     revision: ConfigRevision
-    heard_at_s: float
+    received_at_s: float
 
 
 @frozen
 class Adopted:
-    """Say that a copy was taken in."""
+    """Result of ``adopt``: the copy was adopted."""
 
     before: ConfigRevision
     revision: ConfigRevision
@@ -87,78 +87,78 @@
 
 @frozen
 class NothingNew:
-    """Say that a copy held nothing beyond what is known already."""
+    """Result of ``adopt``: the copy contained nothing new."""
 
 
 @frozen
 class Gap:
-    """Say that changes are missing between what is known and what came."""
+    """Result of ``adopt``: changes between the view and the copy are missing."""
 
     known: ConfigRevision
 
 
-def enough_peers(
-    words: tuple[PeerWord, ...],
+def is_peer_quorum(
+    received: tuple[PeerRevision, ...],
     known_by_zone: Mapping[AvailabilityZone, int],
-    own_zone: AvailabilityZone,
+    local_zone: AvailabilityZone,
     rule: ReadinessRule,
 ) -> bool:
-    """Return whether the peers heard may stand in for the table.
+    """Return whether the responding peers can replace the table.
 
-    Either the rule's number of peers over the rule's number of zones, as far
-    as the fleet has so many; or, in a zone that is cut off from all others,
-    more than half of the zone's other processes and at least two.
+    This requires the rule's number of peers in the rule's number of zones, as far as
+    the fleet has that many. In a zone that is isolated from all others, more than half
+    of the zone's other processes, and at least two, are sufficient.
 
-    :param words: fresh words of processes that serve, one for each.
-    :param known_by_zone: how many other processes the VM list names, by zone.
+    :param received: recent revisions of processes that serve requests, one for each.
+    :param known_by_zone: number of other processes in the VM list, by zone.
     """
     known = sum(known_by_zone.values())
     if known == 0:
         return False
     zones_known = sum(1 for count in known_by_zone.values() if count)
-    zones_heard = len({word.availability_zone for word in words})
-    if len(words) >= min(rule.peers, known):
-        if zones_heard >= min(rule.zones, zones_known):
+    zones_responding = len({entry.availability_zone for entry in received})
+    if len(received) >= min(rule.peers, known):
+        if zones_responding >= min(rule.zones, zones_known):
             return True
-    in_zone = sum(1 for word in words if word.availability_zone == own_zone)
-    return in_zone >= max(2, known_by_zone.get(own_zone, 0) // 2 + 1)
+    in_zone = sum(1 for entry in received if entry.availability_zone == local_zone)
+    return in_zone >= max(2, known_by_zone.get(local_zone, 0) // 2 + 1)
 
 
 @define
 class ConfigurationView:
-    """Hold one process's configuration; every copy enters through ``adopt``.
+    """Hold the configuration of one process; ``adopt`` applies received copies.
 
-    :ivar documents: as operators wrote them.
-    :ivar snapshot: the same, resolved for decisions.
-    :ivar ready: whether the process may serve; once true it stays true, since
-        an outage must not stop a fleet that holds the newest configuration.
+    :ivar documents: the documents as written by operators.
+    :ivar snapshot: the resolved configuration of these documents.
+    :ivar ready: whether the process may serve requests. It is never reset, because an
+        outage must not stop a fleet that has the newest configuration.
     """
 
-    own_zone: AvailabilityZone = AvailabilityZone("")
+    local_zone: AvailabilityZone = AvailabilityZone("")
     rule: ReadinessRule = ReadinessRule()
     documents: Documents = EMPTY_DOCUMENTS
     snapshot: Snapshot = EMPTY_SNAPSHOT
     ready: bool = False
     _changes: tuple[Change, ...] = ()
-    _words: dict[InstanceId, PeerWord] = field(factory=dict)
+    _peer_revisions: dict[InstanceId, PeerRevision] = field(factory=dict)
     _known_by_zone: Mapping[AvailabilityZone, int] = Factory(dict)
 
     @property
     def revision(self) -> ConfigRevision:
-        """Return the revision that is held."""
+        """Return the revision of the configuration."""
         return self.documents.revision
 
     @property
     def announced_revision(self) -> ConfigRevision:
-        """Return what the headers of this process's messages carry.
+        """Return the revision for the headers of this process's messages.
 
-        A process that may not serve announces 0. A sidecar then refuses its
-        work, and a fresh peer does not take its word for the newest revision.
+        A process that may not serve requests announces 0. Sidecars then refuse its
+        work, and new peers do not count its revision as the newest.
         """
         return self.revision if self.ready else ConfigRevision(0)
 
     def adopt(self, message: ConfigMessage) -> Adopted | NothingNew | Gap:
-        """Take in a copy where it is newer, from wherever it came."""
+        """Apply a copy of the configuration from any source if it is newer."""
         match message:
             case DocumentsMessage(documents):
                 return self._adopt_documents(documents)
@@ -166,9 +166,9 @@
                 return self._adopt_changes(after, changes)
 
     def message_since(self, revision: ConfigRevision) -> ConfigMessage | None:
-        """Return what a peer at a revision lacks, None where it lacks nothing.
+        """Return what a peer at a revision is missing, or None if nothing.
 
-        A process that may not serve hands out nothing.
+        A process that may not serve requests returns None.
         """
         if not self.ready or revision >= self.revision:
             return None
@@ -177,48 +177,48 @@
             return ChangesMessage(revision, missing)
         return DocumentsMessage(self.documents)
 
-    def heard_table(self, table_revision: ConfigRevision) -> None:
-        """Note that the table answered, and with which revision.
+    def on_table_revision(self, table_revision: ConfigRevision) -> None:
+        """Record the revision in a response of the table.
 
-        The table is where changes are accepted: who holds its revision holds
-        the newest one.
+        Changes are committed in the table, so a process with the table's revision has
+        the newest one and becomes ready.
         """
         if self.revision >= table_revision:
             self.ready = True
 
-    def fleet_known(self, known_by_zone: Mapping[AvailabilityZone, int]) -> None:
-        """Note how many other processes there are, by zone."""
+    def update_fleet_size(self, known_by_zone: Mapping[AvailabilityZone, int]) -> None:
+        """Update the number of other processes by zone."""
         self._known_by_zone = dict(known_by_zone)
 
-    def heard_peer(self, word: PeerWord) -> None:
-        """Note a message's header; it may make this process ready."""
+    def on_peer_revision(self, received: PeerRevision) -> None:
+        """Record a peer's revision, which may make this process ready."""
         if self.ready:
             return
-        if word.revision == 0:
-            # The process restarted or never was ready; its earlier word is
-            # void with it.
-            self._words.pop(word.peer, None)
+        if received.revision == 0:
+            # The peer restarted or was never ready, so the revision that it announced
+            # earlier no longer counts.
+            self._peer_revisions.pop(received.peer, None)
             return
-        self._words[word.peer] = word
-        self._consider_peers(word.heard_at_s)
-
-    def _consider_peers(self, now_s: float) -> None:
-        oldest_s = now_s - self.rule.fresh_s
-        self._words = {
-            peer: word
-            for peer, word in self._words.items()
-            if word.heard_at_s >= oldest_s
+        self._peer_revisions[received.peer] = received
+        self._check_peer_quorum(received.received_at_s)
+
+    def _check_peer_quorum(self, now_s: float) -> None:
+        oldest_s = now_s - self.rule.freshness_s
+        self._peer_revisions = {
+            peer: entry
+            for peer, entry in self._peer_revisions.items()
+            if entry.received_at_s >= oldest_s
         }
-        words = tuple(self._words.values())
-        if not words or self.revision < max(word.revision for word in words):
+        received = tuple(self._peer_revisions.values())
+        if not received or self.revision < max(entry.revision for entry in received):
             return
-        if enough_peers(words, self._known_by_zone, self.own_zone, self.rule):
+        if is_peer_quorum(received, self._known_by_zone, self.local_zone, self.rule):
             self.ready = True
 
     def _adopt_documents(self, documents: Documents) -> Adopted | NothingNew:
         if documents.revision <= self.revision:
             return NothingNew()
-        return self._take(documents, resolve(documents), ())
+        return self._replace(documents, resolve(documents), ())
 
     def _adopt_changes(
         self, after: ConfigRevision, changes: tuple[Change, ...]
@@ -231,25 +231,28 @@
         documents = self.documents
         for change in missing:
             documents = apply_change(documents, change)
-        touched = frozenset().union(*(change.touches() for change in missing))
+        touched = frozenset().union(
+            *(change.affected_documents() for change in missing)
+        )
         snapshot = resolve_changed(self.snapshot, documents, touched)
-        return self._take(documents, snapshot, missing)
+        return self._replace(documents, snapshot, missing)
 
-    def _take(
+    def _replace(
         self, documents: Documents, snapshot: Snapshot, changes: tuple[Change, ...]
     ) -> Adopted:
         before = self.revision
         if documents.revision <= before:
             raise InvariantError(
-                f"the configuration would go from revision {before} back to "
+                f"configuration revision would decrease from {before} to "
                 f"{documents.revision}"
             )
         if snapshot.revision != documents.revision:
             raise InvariantError(
-                f"snapshot {snapshot.revision} of documents {documents.revision}"
+                f"snapshot of revision {snapshot.revision} does not match documents of "
+                f"revision {documents.revision}"
             )
         self.documents = documents
         self.snapshot = snapshot
-        kept = self._changes if changes else ()
-        self._changes = (*kept, *changes)[-KEPT_CHANGES:]
+        retained = self._changes if changes else ()
+        self._changes = (*retained, *changes)[-MAX_RETAINED_CHANGES:]
         return Adopted(before, documents.revision)
--- a/src/endivegw/daemons/callers.py
+++ b/src/endivegw/daemons/callers.py
@@ -63,7 +63,7 @@
     if scheme.lower() != "bearer" or not key:
         return Refused(Reason.BAD_KEY, "send your key as a bearer token")
     digest = hashlib.sha256(key.strip().encode()).hexdigest()
-    account = snapshot.account_of_key_hash(digest)
+    account = snapshot.find_account_by_key_hash(digest)
     if account is None:
         return Refused(Reason.BAD_KEY, "this key is not valid")
     allowed_s = _allowed_s(headers.get(DEADLINE_HEADER), limits)
--- a/src/endivegw/daemons/router.py
+++ b/src/endivegw/daemons/router.py
@@ -202,7 +202,7 @@
             lambda: self.ready,
             # Cut off from most targets, the fault is most likely here: callers
             # fare better at another router.
-            lambda: not parts.watch.seems_cut_off,
+            lambda: not parts.watch.seems_isolated,
             parts.settings.http,
             parts.clock,
             parts.log,
--- a/src/endivegw/daemons/target_watch.py
+++ b/src/endivegw/daemons/target_watch.py
@@ -14,13 +14,13 @@
 from endivegw.decisions import LoadFigures, TargetView
 from endivegw.membership import (
     Change,
+    Eligibility,
     Heartbeat,
     MembershipPolicy,
     MembershipView,
     Peer,
     PeerAddress,
     PeerState,
-    Use,
 )
 from endivegw.membership.agent import MembershipAgent
 from endivegw.peers import SidecarClient
@@ -117,9 +117,9 @@
         return self._settled
 
     @property
-    def seems_cut_off(self) -> bool:
+    def seems_isolated(self) -> bool:
         """Return whether so many targets are silent that the fault is here."""
-        return self._view.seems_cut_off(TARGET_ROLE, self._clock())
+        return self._view.seems_isolated(TARGET_ROLE, self._clock())
 
     def find(self, target: TargetName) -> SidecarLink | None:
         """Return how to reach a target's sidecar, None when it is gone."""
@@ -169,7 +169,7 @@
             self._queue.kick()
 
     def _take_change(self, change: Change) -> None:
-        if change.after is PeerState.GONE:
+        if change.after is PeerState.REMOVED:
             self._heartbeats.forget(change.peer)
             self._offers.pop(change.peer, None)
         self._publish(self._clock())
@@ -190,19 +190,21 @@
         """
         heard = [peer for peer in self._chosen_peers() if peer.heartbeat is not None]
         uses = {
-            peer.address: self._view.conclusion(peer.address.vm, now_s).use
+            peer.address: self._view.permitted_actions(
+                peer.address.vm, now_s
+            ).eligibility
             for peer in heard
         }
         served: set[str] = set()
         for peer in heard:
-            if uses[peer.address] is Use.PREFERRED:
+            if uses[peer.address] is Eligibility.PREFERRED:
                 served.update(_models(peer))
         views: list[TargetView] = []
         for peer in heard:
             match uses[peer.address]:
-                case Use.PREFERRED:
+                case Eligibility.PREFERRED:
                     views.append(_view(peer, _models(peer), draining=False))
-                case Use.LAST_RESORT if alone := _models(peer) - served:
+                case Eligibility.LAST_RESORT if alone := _models(peer) - served:
                     views.append(_view(peer, alone, draining=False))
                 case _:
                     views.append(_view(peer, _models(peer), draining=True))
--- a/src/endivegw/membership/__init__.py
+++ b/src/endivegw/membership/__init__.py
@@ -1,6 +1,11 @@
-"""Who is in the fleet: the VM list, heartbeats, and what may be concluded."""
+"""Fleet membership: the VM list, heartbeats, and failure detection."""
 
-from endivegw.membership.conclusions import Conclusion, PeerState, Use, conclude
+from endivegw.membership.conclusions import (
+    Eligibility,
+    PeerState,
+    PermittedActions,
+    permitted_actions_of,
+)
 from endivegw.membership.peer import Peer
 from endivegw.membership.policy import MembershipPolicy
 from endivegw.membership.ports import Heartbeat, HeartbeatPort, PeerAddress
@@ -9,7 +14,7 @@
 
 __all__ = [
     "Change",
-    "Conclusion",
+    "Eligibility",
     "Heartbeat",
     "HeartbeatPort",
     "MembershipPolicy",
@@ -17,7 +22,7 @@
     "Peer",
     "PeerAddress",
     "PeerState",
+    "PermittedActions",
     "TargetSubset",
-    "Use",
-    "conclude",
+    "permitted_actions_of",
 ]
--- a/src/endivegw/membership/conclusions.py
+++ b/src/endivegw/membership/conclusions.py
@@ -1,8 +1,9 @@
-"""What a process may conclude of a peer, and what it may not.
+"""The observed states of a peer and the actions that each state permits.
 
-A silent peer and a dead one look alike, and a list that lags names both. So
-nothing in here ever frees a grant, a claim or an order: whoever wants that
-must seal at the sidecars or win a conditional write in the table.
+An unresponsive peer cannot be distinguished from a dead one, and a VM list that lags
+may name either. A state therefore never permits releasing a grant, a claim or an
+order: that requires sealing at the sidecars or a successful conditional write to the
+table.
 """
 
 from __future__ import annotations
@@ -11,73 +12,74 @@
 
 from attrs import frozen
 
-__all__ = ["Conclusion", "PeerState", "Use", "conclude"]
+__all__ = ["Eligibility", "PeerState", "PermittedActions", "permitted_actions_of"]
 
 
 class PeerState(enum.Enum):
-    """How a peer looks from here; others may see it in another state."""
+    """State of a peer as observed by this process; other processes may differ."""
 
-    #: Listed, and it answers.
+    #: Listed and responding.
     ALIVE = "alive"
-    #: Listed, and it has never answered: it starts, is dead, or is cut off.
-    UNHEARD = "unheard"
-    #: Listed, answered once, and is silent: dead, paused, or cut off from here.
-    SILENT = "silent"
-    #: It answers, but the list does not name it (any more, or yet).
+    #: Listed, but has never responded: starting, dead or partitioned.
+    NEVER_RESPONDED = "unheard"
+    #: Listed and responded before, but unresponsive now: dead, paused or
+    #: partitioned from this process.
+    UNRESPONSIVE = "silent"
+    #: Responding, but no longer or not yet in the list.
     UNLISTED = "unlisted"
-    #: It answers, but has come back from silence too often of late.
+    #: Responding, but became responsive again too often recently.
     FLAPPING = "flapping"
-    #: It answers, and wants no new work for now.
+    #: Responding, but accepts no new work for now.
     DRAINING = "draining"
-    #: It said, or the list says, that it ends.
+    #: Terminating, as reported by the peer itself or by the list.
     LEAVING = "leaving"
-    #: A newer machine of the list holds its address.
+    #: A newer machine in the list has its address.
     SUPERSEDED = "superseded"
-    #: Unlisted and silent for longer than the list may lag.
-    GONE = "gone"
+    #: Unlisted and unresponsive for longer than the list may lag.
+    REMOVED = "gone"
 
 
-class Use(enum.IntEnum):
-    """Whether new work may go to a peer; lower is better."""
+class Eligibility(enum.IntEnum):
+    """Whether new work may be sent to a peer; lower values are preferred."""
 
     PREFERRED = 0
-    #: Only where no preferred peer can take the work: trying a silent peer may
-    #: cost time, while refusing the caller fails for certain.
+    #: Only if no preferred peer can accept the work. Trying an unresponsive peer
+    #: may waste time, but refusing the request is a certain failure.
     LAST_RESORT = 1
     NEVER = 2
 
 
 @frozen
-class Conclusion:
-    """Hold what may be done on the strength of a peer's state.
-
-    :param use: whether new work may go there.
-    :param take_back: whether work queued for it, and not handed over yet,
-        should be placed elsewhere.
-    :param start_recovery: whether to **begin** recovering its grants, by
-        sealing. It is a hint and no permission: what cannot be sealed stays
-        held back.
+class PermittedActions:
+    """Hold the actions that a peer's state permits.
+
+    :param eligibility: whether new work may be sent to the peer.
+    :param reassign_queued: whether work that is queued for the peer and not yet
+        sent should be placed elsewhere.
+    :param start_recovery: whether to **start** recovering the peer's grants by
+        sealing. This does not permit releasing them: grants that cannot be sealed
+        stay reserved.
     """
 
-    use: Use
-    take_back: bool
+    eligibility: Eligibility
+    reassign_queued: bool
     start_recovery: bool
 
 
-_CONCLUSIONS = {
-    PeerState.ALIVE: Conclusion(Use.PREFERRED, False, False),
-    PeerState.UNHEARD: Conclusion(Use.NEVER, False, False),
-    PeerState.SILENT: Conclusion(Use.LAST_RESORT, True, False),
-    # A list that fails and names nobody must not stop the fleet.
-    PeerState.UNLISTED: Conclusion(Use.LAST_RESORT, False, False),
-    PeerState.FLAPPING: Conclusion(Use.LAST_RESORT, False, False),
-    PeerState.DRAINING: Conclusion(Use.NEVER, True, False),
-    PeerState.LEAVING: Conclusion(Use.NEVER, True, False),
-    PeerState.SUPERSEDED: Conclusion(Use.NEVER, True, True),
-    PeerState.GONE: Conclusion(Use.NEVER, True, True),
+_PERMITTED_ACTIONS = {
+    PeerState.ALIVE: PermittedActions(Eligibility.PREFERRED, False, False),
+    PeerState.NEVER_RESPONDED: PermittedActions(Eligibility.NEVER, False, False),
+    PeerState.UNRESPONSIVE: PermittedActions(Eligibility.LAST_RESORT, True, False),
+    # An empty list from a failing list service must not stop the fleet.
+    PeerState.UNLISTED: PermittedActions(Eligibility.LAST_RESORT, False, False),
+    PeerState.FLAPPING: PermittedActions(Eligibility.LAST_RESORT, False, False),
+    PeerState.DRAINING: PermittedActions(Eligibility.NEVER, True, False),
+    PeerState.LEAVING: PermittedActions(Eligibility.NEVER, True, False),
+    PeerState.SUPERSEDED: PermittedActions(Eligibility.NEVER, True, True),
+    PeerState.REMOVED: PermittedActions(Eligibility.NEVER, True, True),
 }
 
 
-def conclude(state: PeerState) -> Conclusion:
-    """Return what may be done on the strength of a state."""
-    return _CONCLUSIONS[state]
+def permitted_actions_of(state: PeerState) -> PermittedActions:
+    """Return the actions that a state permits."""
+    return _PERMITTED_ACTIONS[state]
--- a/src/endivegw/membership/ports.py
+++ b/src/endivegw/membership/ports.py
@@ -1,4 +1,4 @@
-"""What membership needs of the transport between processes."""
+"""Interface between membership and the transport between processes."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @frozen(order=True)
 class PeerAddress:
-    """Name where a peer is reached, and as what.
+    """Identify a peer by its machine, network address and role.
 
-    :param vm: the platform's id of its machine.
+    :param vm: the platform's id of the peer's machine.
     :param role: ``router`` or ``target``.
     """
 
@@ -28,14 +28,15 @@
 
 @frozen
 class Heartbeat:
-    """Hold what a peer said of itself.
-
-    :param draining: it takes no new work for now; it may take some again.
-    :param leaving: this instance ends and never takes new work again.
-    :param load: None from routers.
-    :param target: the target behind a sidecar, "" from routers.
-    :param start_incarnation: what a start at this sidecar must name.
-    :param cache_sequence: the last cache event that the sidecar has seen.
+    """Hold a peer's response to a heartbeat.
+
+    :param draining: whether the peer accepts no new work for now; it may resume.
+    :param leaving: whether this instance terminates; it never accepts new work again.
+    :param load: load of the target; None from routers.
+    :param target: the target behind a sidecar; "" from routers.
+    :param start_incarnation: incarnation that a start at this sidecar must name.
+    :param cache_sequence: sequence number of the last cache event that the sidecar
+        received.
     """
 
     instance_id: InstanceId
@@ -50,9 +51,9 @@
 
 
 class HeartbeatPort(Protocol):
-    """One heartbeat to one peer."""
+    """Send heartbeats to peers."""
 
     async def heartbeat(
         self, peer: PeerAddress, *, timeout_s: float
     ) -> Result[Heartbeat]:
-        """Return what the peer answers; it never raises for an absent peer."""
+        """Return the peer's response; never raises for an unreachable peer."""
--- a/src/endivegw/membership/subset.py
+++ b/src/endivegw/membership/subset.py
@@ -1,7 +1,8 @@
-"""Choose which targets a router watches and gives work to.
+"""Select the targets that a router watches and sends requests to.
 
-Made for 370 routers before 650 targets. A router that watched them all would
-send 260 heartbeats a second, where its limits allow four or five. Pure.
+Designed for 370 routers and 650 targets. A router that watched all of them would
+send 260 heartbeats per second, while its limits allow four or five. This module
+performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,32 +18,33 @@
 
 __all__ = ["TargetSubset"]
 
-#: How many watched targets a model needs: with one, its loss or its drain would
-#: refuse callers of that model until another one is found.
-_LEAST_PER_MODEL = 3
+#: Minimum number of watched targets per model. With a single one, its loss or drain
+#: would cause requests for that model to be refused until another target is found.
+_MIN_TARGETS_PER_MODEL = 3
 
-#: How many unknown targets are asked for each one that a model lacks. With
-#: three models every third target has the right one.
-_ASKED_PER_MISSING = 3
+#: Number of targets with unknown models to probe for each target that a model lacks.
+#: With three models, every third target serves the required one.
+_PROBES_PER_MISSING_TARGET = 3
 
-#: By how much the choice may outgrow ``count`` to cover every model.
-_MOST_OF_COUNT = 2
+#: Factor by which the selection may exceed ``count`` to cover every model.
+_MAX_GROWTH_FACTOR = 2
 
-_LOST_FAILURES = 2
+#: Consecutive failed heartbeats from which a target is not selected for its models.
+_UNRESPONSIVE_FAILURES = 2
 
 
 @define
 class TargetSubset:
-    """Rank targets for one router, by a hash of both names.
+    """Rank targets for one router by a hash of the router's and the target's name.
 
-    The order is the same in every reading of a lagging list, and a target that
-    comes or goes moves no other one: connections and what is known of prompt
-    caches last. Different routers have different orders, so that targets get
-    about equally many routers.
+    The order does not depend on the order of the list, and adding or removing a
+    target does not move any other, so that connections and the state of prompt
+    caches stay valid. Each router has a different order, so that targets are watched
+    by about the same number of routers.
 
-    :param router: a name that is this router's own.
-    :param count: how many to watch where nothing else is needed.
-    :param watch_all: up to how many targets all of them are watched.
+    :param router: unique name of this router.
+    :param count: number of targets to watch if all models are covered.
+    :param watch_all: largest number of targets for which all are watched.
     """
 
     router: str
@@ -54,19 +56,19 @@
     def choose(
         self, peers: tuple[Peer, ...], wanted_models: Iterable[str]
     ) -> tuple[PeerAddress, ...]:
-        """Return the targets to watch now.
+        """Return the targets to watch.
 
-        :param wanted_models: models that callers may ask for. Which target has
-            which is known only once it was asked, so that the choice grows by
-            unknown targets until each model has enough, and then drops those
-            that were of no use.
+        :param wanted_models: models that callers may request. The models of a target
+            are known only after its first response. The selection therefore grows by
+            targets with unknown models until each model has enough targets, and
+            then drops the targets that are not needed.
         """
         if len(peers) <= self.watch_all:
             return tuple(peer.address for peer in peers)
         ranked = sorted(peers, key=self._rank)
         near = [p for p in ranked if p.availability_zone == self.availability_zone]
-        # Half from the own zone saves the hop; the other half is there when the
-        # zone is full or gone.
+        # Half of the targets are in the local zone, which avoids traffic between
+        # zones; the other half serves when the local zone is full or unavailable.
         chosen = dict.fromkeys(peer.address for peer in near[: self.count // 2])
         for peer in ranked:
             if len(chosen) >= self.count:
@@ -74,27 +76,27 @@
             chosen.setdefault(peer.address)
         for model in sorted(set(wanted_models)):
             self._cover(model, ranked, chosen)
-        # A long list of adapters must not undo the limit.
-        return tuple(chosen)[: _MOST_OF_COUNT * self.count]
+        # A long list of adapters must not exceed the limit.
+        return tuple(chosen)[: _MAX_GROWTH_FACTOR * self.count]
 
     def _cover(
         self, model: str, ranked: list[Peer], chosen: dict[PeerAddress, None]
     ) -> None:
-        """Add targets until enough of the chosen ones have a model."""
-        having = [peer for peer in ranked if _has(peer, model)]
-        have = sum(1 for peer in having if peer.address in chosen)
-        missing = max(0, _LEAST_PER_MODEL - have)
-        known = [peer for peer in having if peer.address not in chosen][:missing]
+        """Add targets until enough of the chosen ones serve a model."""
+        serving = [peer for peer in ranked if _serves_model(peer, model)]
+        covered = sum(1 for peer in serving if peer.address in chosen)
+        missing = max(0, _MIN_TARGETS_PER_MODEL - covered)
+        known = [peer for peer in serving if peer.address not in chosen][:missing]
         chosen.update(dict.fromkeys(peer.address for peer in known))
         missing -= len(known)
-        asked = [
+        unprobed = [
             peer
             for peer in ranked
             if peer.heartbeat is None
-            and peer.failures < _LOST_FAILURES
+            and peer.failures < _UNRESPONSIVE_FAILURES
             and peer.address not in chosen
         ]
-        for peer in asked[: missing * _ASKED_PER_MISSING]:
+        for peer in unprobed[: missing * _PROBES_PER_MISSING_TARGET]:
             chosen.setdefault(peer.address)
 
     def _rank(self, peer: Peer) -> bytes:
@@ -106,9 +108,13 @@
         return rank
 
 
-def _has(peer: Peer, model: str) -> bool:
+def _serves_model(peer: Peer, model: str) -> bool:
     heartbeat = peer.heartbeat
-    if heartbeat is None or heartbeat.load is None or peer.failures >= _LOST_FAILURES:
+    if (
+        heartbeat is None
+        or heartbeat.load is None
+        or peer.failures >= _UNRESPONSIVE_FAILURES
+    ):
         return False
-    refuses = heartbeat.draining or heartbeat.leaving or peer.list_leaving
-    return not refuses and model in heartbeat.load.models
+    unavailable = heartbeat.draining or heartbeat.leaving or peer.list_leaving
+    return not unavailable and model in heartbeat.load.models
--- a/src/endivegw_standins/spread_world.py
+++ b/src/endivegw_standins/spread_world.py
@@ -1,8 +1,8 @@
-"""Many processes' configuration in virtual time: the pure parts, no sockets.
+"""Simulation of configuration propagation between processes, in virtual time.
 
-Each process is the product's own view and schedule; this module stands for
-what carries out their questions, with a table, an object store and heartbeats
-that can be slow, lossy, doubled, cut off or away.
+Each process runs the product's own view and scheduler. This module replaces the
+agents that execute their actions, the table, the object store and the heartbeats,
+which can be slow, lossy, duplicated, partitioned or unavailable. It uses no sockets.
 """
 
 from __future__ import annotations
@@ -29,37 +29,37 @@
 from endivegw.configuration.parameters import Parameters
 from endivegw.configuration.spread import (
     Action,
-    PullPeer,
-    ReadAllFromTable,
+    PullFromPeer,
+    ReadAllDocuments,
     ReadChanges,
     ReadObject,
-    Report,
-    Spread,
+    SyncScheduler,
     WriteObject,
+    WriteReport,
 )
-from endivegw.configuration.view import ConfigurationView, PeerWord
+from endivegw.configuration.view import ConfigurationView, PeerRevision
 from endivegw.types import AvailabilityZone, ConfigRevision, InstanceId
 
-__all__ = ["Process", "READS_OF_ALL", "SpreadWorld", "WorldSettings"]
+__all__ = ["Process", "READS_PER_FULL_LOAD", "SimulationSettings", "SyncSimulation"]
 
 _TIMEOUT_S = 2.0
 
-#: Reads of a load of all documents: the revision, three kinds, the changes.
-READS_OF_ALL = 5
+#: Reads for a complete load: the revision, three kinds of documents and the changes.
+READS_PER_FULL_LOAD = 5
 
 
 @frozen
-class WorldSettings:
-    """Hold the size of a world and how its network behaves at the start.
+class SimulationSettings:
+    """Hold the size of the simulated fleet and its network parameters.
 
-    :param heard_by: routers that send heartbeats to one sidecar.
-    :param router_partners: routers that send heartbeats to one router.
+    :param routers_per_sidecar: number of routers that send heartbeats to one sidecar.
+    :param router_partners: number of routers that send heartbeats to one router.
     """
 
     routers: int
     sidecars: int
     zones: int = 3
-    heard_by: int = 4
+    routers_per_sidecar: int = 4
     heartbeat_s: float = 1.0
     router_partners: int = 4
     router_heartbeat_s: float = 1.0
@@ -69,56 +69,57 @@
 
 @define
 class Process:
-    """Hold one process: its slot in the fleet and its present incarnation."""
+    """Hold one process: its position in the fleet and its current incarnation."""
 
     index: int
     zone: AvailabilityZone
     router: bool
-    spread: Spread
+    scheduler: SyncScheduler
     incarnation: int = 0
-    woken_at_s: float = float("inf")
+    wake_at_s: float = float("inf")
     table_reads: int = 0
     sent_bytes: int = 0
-    highest: ConfigRevision = ConfigRevision(0)
+    highest_revision: ConfigRevision = ConfigRevision(0)
 
     @property
     def instance_id(self) -> InstanceId:
-        """Return the id of the present incarnation."""
+        """Return the id of the current incarnation."""
         return InstanceId(f"{self.index}.{self.incarnation}")
 
 
 @define
-class SpreadWorld:
-    """Run processes in virtual time.
-
-    :ivar loss: share of messages between processes that vanish.
-    :ivar doubling: share that arrive twice.
-    :ivar extra_delay_s: longest random delay of a message.
-    :ivar table_up: whether the table answers anyone.
-    :ivar objects_up: whether the object store answers anyone.
-    :ivar reads_by_second: reads of the table in each second.
-    :ivar reports_by_second: writes of reports in each second.
-    :ivar whole_loads: how often all documents were read from the table.
-    :ivar cut: whether a message of one process does not reach another; the
-        table and the object store count as process -1.
+class SyncSimulation:
+    """Simulate the processes of a fleet in virtual time.
+
+    :ivar loss: share of messages between processes that are lost.
+    :ivar duplication: share of messages that are delivered twice.
+    :ivar extra_delay_s: longest random delay of a message, in seconds.
+    :ivar table_up: whether the table is available.
+    :ivar objects_up: whether the object store is available.
+    :ivar partitioned: returns whether messages from one process do not reach another;
+        the table and the object store have the index -1.
+    :ivar stored: the copy in the object store.
+    :ivar reads_by_second: number of table reads in each second.
+    :ivar reports_by_second: number of report writes in each second.
+    :ivar full_loads: number of complete loads from the table.
     """
 
-    settings: WorldSettings
+    settings: SimulationSettings
     random: random.Random
     now_s: float = 0.0
     loss: float = 0.0
-    doubling: float = 0.0
+    duplication: float = 0.0
     extra_delay_s: float = 0.0
     table_up: bool = True
     objects_up: bool = True
-    cut: Callable[[int, int], bool] = lambda one, other: False
+    partitioned: Callable[[int, int], bool] = lambda one, other: False
     documents: Documents = EMPTY_DOCUMENTS
     history: list[Change] = field(factory=list)
     stored: Documents | None = None
     processes: list[Process] = field(factory=list)
     reads_by_second: Counter[int] = field(factory=Counter)
     reports_by_second: Counter[int] = field(factory=Counter)
-    whole_loads: int = 0
+    full_loads: int = 0
     _events: list[tuple[float, int, Callable[[], None]]] = field(factory=list)
     _count: int = 0
 
@@ -127,30 +128,35 @@
         for index in range(total):
             zone = AvailabilityZone(f"zone-{index % self.settings.zones}")
             router = index < self.settings.routers
-            spread = self._new_spread(zone, router)
-            self.processes.append(Process(index, zone, router, spread))
+            scheduler = self._new_scheduler(zone, router)
+            self.processes.append(Process(index, zone, router, scheduler))
         for process in self.processes:
             self._start(process)
         routers = self.processes[: self.settings.routers]
         for process in self.processes:
             others = [router for router in routers if router is not process]
-            wanted, interval_s = self.settings.heard_by, self.settings.heartbeat_s
+            sender_count, interval_s = (
+                self.settings.routers_per_sidecar,
+                self.settings.heartbeat_s,
+            )
             if process.router:
-                wanted = self.settings.router_partners
+                sender_count = self.settings.router_partners
                 interval_s = self.settings.router_heartbeat_s
-            for sender in self.random.sample(others, min(len(others), wanted)):
-                beat = functools.partial(self._heartbeat, sender, process, interval_s)
-                self._at(self.random.uniform(0, interval_s), beat)
+            for sender in self.random.sample(others, min(len(others), sender_count)):
+                heartbeat = functools.partial(
+                    self._heartbeat, sender, process, interval_s
+                )
+                self._schedule(self.random.uniform(0, interval_s), heartbeat)
 
     def run_until(self, end_s: float) -> None:
-        """Let time pass."""
+        """Advance virtual time to ``end_s`` and run the events until then."""
         while self._events and self._events[0][0] <= end_s:
-            self.now_s, _, happen = heapq.heappop(self._events)
-            happen()
+            self.now_s, _, callback = heapq.heappop(self._events)
+            callback()
         self.now_s = end_s
 
     def commit(self, name: str, weight: float) -> Change:
-        """Accept one change at the table."""
+        """Commit one change to the table."""
         change = Change(
             ConfigRevision(self.documents.revision + 1),
             f"op-{len(self.history)}",
@@ -164,24 +170,24 @@
         return change
 
     def restart(self, process: Process) -> None:
-        """Replace a process by a fresh one that knows nothing."""
+        """Replace a process by a new one without any configuration."""
         process.incarnation += 1
-        process.highest = ConfigRevision(0)
-        process.spread = self._new_spread(process.zone, process.router)
+        process.highest_revision = ConfigRevision(0)
+        process.scheduler = self._new_scheduler(process.zone, process.router)
         self._start(process)
 
-    def holding(self, revision: int) -> int:
-        """Return how many processes serve under at least a revision."""
+    def count_serving(self, revision: int) -> int:
+        """Return the number of processes that serve with at least a revision."""
         return sum(
             1
             for process in self.processes
-            if process.spread.view.announced_revision >= revision
+            if process.scheduler.view.announced_revision >= revision
         )
 
-    def _new_spread(self, zone: AvailabilityZone, router: bool) -> Spread:
+    def _new_scheduler(self, zone: AvailabilityZone, router: bool) -> SyncScheduler:
         total = self.settings.routers + self.settings.sidecars
         view = ConfigurationView(zone)
-        spread = Spread(
+        scheduler = SyncScheduler(
             view, random.Random(self.random.random()), daemons=total, reports=router
         )
         per_zone = {
@@ -191,177 +197,197 @@
             for number in range(self.settings.zones)
         }
         per_zone[zone] -= 1
-        view.fleet_known(per_zone)
-        return spread
+        view.update_fleet_size(per_zone)
+        return scheduler
 
     def _start(self, process: Process) -> None:
-        process.spread.start(self.now_s)
-        process.woken_at_s = float("inf")
-        self._wake(process)
+        process.scheduler.start(self.now_s)
+        process.wake_at_s = float("inf")
+        self._schedule_wake(process)
 
-    def _at(self, delay_s: float, happen: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, callback: Callable[[], None]) -> None:
         self._count += 1
-        heapq.heappush(self._events, (self.now_s + delay_s, self._count, happen))
+        heapq.heappush(self._events, (self.now_s + delay_s, self._count, callback))
 
-    def _wake(self, process: Process) -> None:
-        due_s = max(self.now_s, process.spread.next_due_s())
-        if due_s >= process.woken_at_s:
+    def _schedule_wake(self, process: Process) -> None:
+        due_s = max(self.now_s, process.scheduler.next_due_s())
+        if due_s >= process.wake_at_s:
             return
-        process.woken_at_s = due_s
-        spread = process.spread
+        process.wake_at_s = due_s
+        scheduler = process.scheduler
 
-        def happen() -> None:
-            if process.spread is not spread or process.woken_at_s != due_s:
+        def callback() -> None:
+            if process.scheduler is not scheduler or process.wake_at_s != due_s:
                 return
-            process.woken_at_s = float("inf")
-            for action in spread.due(self.now_s):
-                self._carry_out(process, spread, action)
-            self._wake(process)
+            process.wake_at_s = float("inf")
+            for action in scheduler.due(self.now_s):
+                self._execute(process, scheduler, action)
+            self._schedule_wake(process)
 
-        self._at(due_s - self.now_s, happen)
+        self._schedule(due_s - self.now_s, callback)
 
-    def _answer(
+    def _deliver(
         self,
         process: Process,
-        spread: Spread,
+        scheduler: SyncScheduler,
         delay_s: float,
-        take: Callable[[], object],
+        apply: Callable[[], object],
     ) -> None:
-        """Let a process take an answer in, unless it was replaced meanwhile."""
+        """Deliver a response to a process unless the process has been replaced."""
 
-        def happen() -> None:
-            if process.spread is not spread:
+        def callback() -> None:
+            if process.scheduler is not scheduler:
                 return
-            take()
-            self._check(process)
-            self._wake(process)
+            apply()
+            self._check_revision(process)
+            self._schedule_wake(process)
 
-        self._at(delay_s, happen)
+        self._schedule(delay_s, callback)
 
-    def _check(self, process: Process) -> None:
-        revision = process.spread.view.revision
-        if revision < process.highest:
-            raise AssertionError(f"{process} went back from {process.highest}")
-        process.highest = revision
+    def _check_revision(self, process: Process) -> None:
+        revision = process.scheduler.view.revision
+        if revision < process.highest_revision:
+            raise AssertionError(
+                f"{process} decreased its revision from {process.highest_revision}"
+            )
+        process.highest_revision = revision
 
-    def _carry_out(self, process: Process, spread: Spread, action: Action) -> None:
+    def _execute(
+        self, process: Process, scheduler: SyncScheduler, action: Action
+    ) -> None:
         match action:
             case ReadChanges(after):
-                self._read_table(process, spread, after)
-            case ReadAllFromTable():
-                self._read_table(process, spread, None)
-            case PullPeer(peer, have):
-                self._pull(process, spread, peer, have)
+                self._read_table(process, scheduler, after)
+            case ReadAllDocuments():
+                self._read_table(process, scheduler, None)
+            case PullFromPeer(peer, have):
+                self._pull(process, scheduler, peer, have)
             case ReadObject():
-                self._read_object(process, spread)
+                self._read_object(process, scheduler)
             case WriteObject():
-                if self.objects_up and not self._cut_from_stores(process):
-                    self._store(spread.view.documents)
-                self._answer(process, spread, 0.05, spread.object_ended)
-            case Report():
-                spread.fresh_words(self.now_s)
+                if self.objects_up and not self._is_partitioned_from_stores(process):
+                    self._write_object(scheduler.view.documents)
+                self._deliver(process, scheduler, 0.05, scheduler.on_object_done)
+            case WriteReport():
+                scheduler.recent_peer_revisions(self.now_s)
                 self.reports_by_second[int(self.now_s)] += 1
-                self._answer(process, spread, 0.05, spread.report_ended)
+                self._deliver(process, scheduler, 0.05, scheduler.on_report_done)
 
     def _read_table(
-        self, process: Process, spread: Spread, after: ConfigRevision | None
+        self, process: Process, scheduler: SyncScheduler, after: ConfigRevision | None
     ) -> None:
-        reads = 1 if after is not None else READS_OF_ALL
+        reads = 1 if after is not None else READS_PER_FULL_LOAD
         process.table_reads += reads
         self.reads_by_second[int(self.now_s)] += reads
-        self.whole_loads += after is None
+        self.full_loads += after is None
         delay_s = self.settings.table_delay_s
-        away = not self.table_up or self._cut_from_stores(process)
-        if away or delay_s > _TIMEOUT_S:
-            self._answer(process, spread, _TIMEOUT_S, spread.table_failed)
+        unavailable = not self.table_up or self._is_partitioned_from_stores(process)
+        if unavailable or delay_s > _TIMEOUT_S:
+            self._deliver(process, scheduler, _TIMEOUT_S, scheduler.on_table_failure)
             return
 
-        # What the table says is that of the middle of the call.
+        # The response contains the state of the table in the middle of the call.
         def read() -> None:
             documents, changes = self.documents, tuple(self.history[after or 0 :])
 
-            def take() -> None:
+            def apply() -> None:
                 if after is None:
-                    spread.table_gave_all(documents, self.now_s)
+                    scheduler.on_table_documents(documents, self.now_s)
                 else:
-                    spread.table_gave_changes(after, changes, self.now_s)
+                    scheduler.on_table_changes(after, changes, self.now_s)
 
-            self._answer(process, spread, delay_s / 2, take)
+            self._deliver(process, scheduler, delay_s / 2, apply)
 
-        self._at(delay_s / 2, read)
+        self._schedule(delay_s / 2, read)
 
     def _pull(
-        self, process: Process, spread: Spread, peer: InstanceId, have: ConfigRevision
+        self,
+        process: Process,
+        scheduler: SyncScheduler,
+        peer: InstanceId,
+        have: ConfigRevision,
     ) -> None:
         other = self.processes[int(peer.partition(".")[0])]
         lost = self._is_lost(process, other) or self._is_lost(other, process)
         lost = lost or other.instance_id != peer
         if lost:
-            self._answer(
+            self._deliver(
                 process,
-                spread,
-                spread.settings.pull_timeout_s,
-                lambda: spread.peer_failed(peer, self.now_s),
+                scheduler,
+                scheduler.settings.pull_timeout_s,
+                lambda: scheduler.on_peer_failure(peer, self.now_s),
             )
             return
 
-        def ask() -> None:
-            message = other.spread.view.message_since(have)
+        def respond() -> None:
+            message = other.scheduler.view.message_since(have)
             if message is not None:
                 other.sent_bytes += len(encode_message(message))
-            self._answer(
+            self._deliver(
                 process,
-                spread,
+                scheduler,
                 self._delay_s(),
-                lambda: spread.peer_gave(peer, message, self.now_s),
+                lambda: scheduler.on_peer_message(peer, message, self.now_s),
             )
 
-        self._at(self._delay_s(), ask)
+        self._schedule(self._delay_s(), respond)
 
-    def _read_object(self, process: Process, spread: Spread) -> None:
-        if not self.objects_up or self._cut_from_stores(process) or self.stored is None:
-            self._answer(process, spread, 0.05, spread.object_ended)
+    def _read_object(self, process: Process, scheduler: SyncScheduler) -> None:
+        if (
+            not self.objects_up
+            or self._is_partitioned_from_stores(process)
+            or self.stored is None
+        ):
+            self._deliver(process, scheduler, 0.05, scheduler.on_object_done)
             return
         message = DocumentsMessage(self.stored)
-        self._answer(
-            process, spread, 0.05, lambda: spread.object_gave(message, self.now_s)
+        self._deliver(
+            process,
+            scheduler,
+            0.05,
+            lambda: scheduler.on_object_message(message, self.now_s),
         )
 
-    def _store(self, documents: Documents) -> None:
+    def _write_object(self, documents: Documents) -> None:
         if self.stored is None or documents.revision > self.stored.revision:
             self.stored = documents
 
     def _heartbeat(self, router: Process, other: Process, interval_s: float) -> None:
-        self._at(
+        self._schedule(
             interval_s * self.random.uniform(0.9, 1.1),
             functools.partial(self._heartbeat, router, other, interval_s),
         )
-        self._send_word(router, other)
-        self._send_word(other, router)
+        self._send_header(router, other)
+        self._send_header(other, router)
 
-    def _send_word(self, sender: Process, receiver: Process) -> None:
-        copies = 2 if self.random.random() < self.doubling else 1
-        view = sender.spread.view
+    def _send_header(self, sender: Process, receiver: Process) -> None:
+        copies = 2 if self.random.random() < self.duplication else 1
+        view = sender.scheduler.view
         for _ in range(copies):
             if self._is_lost(sender, receiver):
                 continue
             delay_s = self._delay_s()
-            word = PeerWord(
+            received = PeerRevision(
                 sender.instance_id,
                 sender.zone,
                 view.announced_revision,
                 self.now_s + delay_s,
             )
-            spread = receiver.spread
-            self._answer(
-                receiver, spread, delay_s, functools.partial(spread.heard, word)
+            scheduler = receiver.scheduler
+            self._deliver(
+                receiver,
+                scheduler,
+                delay_s,
+                functools.partial(scheduler.on_peer_revision, received),
             )
 
-    def _cut_from_stores(self, process: Process) -> bool:
-        return self.cut(-1, process.index) or self.cut(process.index, -1)
+    def _is_partitioned_from_stores(self, process: Process) -> bool:
+        return self.partitioned(-1, process.index) or self.partitioned(
+            process.index, -1
+        )
 
     def _is_lost(self, sender: Process, receiver: Process) -> bool:
-        if self.cut(sender.index, receiver.index):
+        if self.partitioned(sender.index, receiver.index):
             return True
         return self.random.random() < self.loss
 
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -1,4 +1,4 @@
-"""Operators race over a table that loses, delays and doubles writes."""
+"""Concurrent operators with a table that loses, delays and duplicates writes."""
 
 import random
 import unittest
@@ -18,27 +18,27 @@
 EDITS = 5
 
 
-class ChaosTable(MemoryTable):
-    """Lose answers before and after the effect, and let writes arrive late."""
+class FaultyTable(MemoryTable):
+    """Lose responses before or after a write takes effect, and delay writes."""
 
     def __init__(self, source, share):
         super().__init__()
         self.random = source
-        self.share = share
-        self.late = []
+        self.fault_share = share
+        self.delayed = []
 
     async def transact(self, transaction, *, timeout_s):
         await self.pause()
-        if self.random.random() >= self.share:
+        if self.random.random() >= self.fault_share:
             return self.transact_now(transaction)
         match self.random.choice(["before", "after", "late", "twice"]):
             case "after":
                 self.transact_now(transaction)
             case "late":
-                self.late.append(transaction)
+                self.delayed.append(transaction)
             case "twice":
                 self.transact_now(transaction)
-                self.late.append(transaction)
+                self.delayed.append(transaction)
         return Unknown(Reason.TIMEOUT, "lost")
 
     async def read(self, keys, *, timeout_s):
@@ -48,23 +48,23 @@
     async def pause(self):
         for _ in range(self.random.randrange(3)):
             await anyio.sleep(0)
-        if self.late and self.random.random() < 0.3:
-            self.transact_now(self.late.pop(0))
+        if self.delayed and self.random.random() < 0.3:
+            self.transact_now(self.delayed.pop(0))
 
 
 class RacingOperatorsTests(unittest.TestCase):
     @seed(11)
     @settings(max_examples=80, deadline=None, database=None, derandomize=True)
     @given(number=st.integers(0, 2**32), share=st.floats(0.0, 0.6))
-    def test_each_command_takes_effect_as_it_says(self, number, share):
+    def test_each_command_takes_effect_as_reported(self, number, share):
         """
-        Four operators edit two templates at the same time. Answers get lost,
-        and copies of writes arrive after the command has given them up. What
-        a command called done is in the history once, what it called not done
-        is not there, and the documents are those that the history makes.
+        Four operators edit two templates concurrently. Responses are lost, and copies
+        of writes arrive after the command has abandoned them. A change reported as
+        done must be in the history once, a change reported as refused must not be in
+        it, and the documents must result from the history.
         """
         source = random.Random(number)
-        table = ChaosTable(source, share)
+        table = FaultyTable(source, share)
         outcomes = {}
 
         async def operator(name):
@@ -87,10 +87,10 @@
             async with anyio.create_task_group() as tasks:
                 for index in range(OPERATORS):
                     tasks.start_soon(operator, f"operator-{index}")
-            for transaction in table.late:
+            for transaction in table.delayed:
                 table.transact_now(transaction)
-            table.share = 0.0
-            table.late = []
+            table.fault_share = 0.0
+            table.delayed = []
             changes = (await load_changes(table, 0, timeout_s=1)).value
             return changes, (await load_documents(table, timeout_s=1)).value
 
@@ -105,7 +105,7 @@
                     )
                 case Refused():
                     self.assertNotIn(operation_id, written)
-        made = EMPTY_DOCUMENTS
+        expected = EMPTY_DOCUMENTS
         for change in changes:
-            made = apply_change(made, change)
-        self.assertEqual(documents, made)
+            expected = apply_change(expected, change)
+        self.assertEqual(documents, expected)
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Operators' changes reach the table once, in order, or not at all."""
+"""Changes by operators are committed to the table exactly once or not at all."""
 
 import unittest
 
@@ -28,9 +28,9 @@
 
 
 class LossyTable(MemoryTable):
-    """Lose answers to writes: ``"after"`` or ``"before"`` they take effect.
+    """Lose responses to writes ``"before"`` or ``"after"`` they take effect.
 
-    A write held ``"late"`` takes effect when it is released.
+    A ``"late"`` write is held until the test applies it.
     """
 
     def __init__(self):
@@ -70,8 +70,8 @@
     async def load(self):
         return await load_snapshot(self.table, timeout_s=1)
 
-    def test_account_takes_what_it_does_not_set_from_its_template(self):
-        """A template's edit changes each of its accounts but where they differ."""
+    def test_account_inherits_unset_parameters_from_its_template(self):
+        """An edit of a template affects its accounts except for overrides."""
 
         async def run():
             shared = Parameters(priority=Priority.URGENT, weight=2.0)
@@ -93,8 +93,8 @@
         account = snapshot.accounts["lobby"]
         self.assertEqual((account.priority, account.weight), (Priority.BATCH, 5.0))
 
-    def test_key_is_shown_once_and_rotation_keeps_the_one_before(self):
-        """The table holds only digests; after two rotations the first is void."""
+    def test_key_is_not_stored_and_rotation_retains_the_previous_key(self):
+        """The table has only digests; after two rotations the first key is invalid."""
 
         async def run():
             first = await create_account(self.table, self.operation(), "lobby")
@@ -104,16 +104,16 @@
 
         first, second, third = anyio.run(run)
         snapshot = self.snapshot()
-        self.assertIsNone(snapshot.account_of_key_hash(hash_of_key(first)))
+        self.assertIsNone(snapshot.find_account_by_key_hash(hash_of_key(first)))
         for key in (second, third):
-            account = snapshot.account_of_key_hash(hash_of_key(key))
+            account = snapshot.find_account_by_key_hash(hash_of_key(key))
             self.assertEqual(account.client_account, "lobby")
         self.assertNotIn(first, repr(self.table.__dict__))
 
-    def test_second_of_two_racing_edits_sees_what_the_first_did(self):
+    def test_second_of_two_concurrent_edits_is_refused(self):
         """
-        Two operators open the same template, and both save. Without the check
-        the second would silently undo the first one's edit.
+        Two operators open the same template and both save it. Without the check, the
+        second edit would silently undo the first one. The refusal shows the first.
         """
 
         async def run():
@@ -133,7 +133,7 @@
         self.assertEqual(self.snapshot().revision, 2)
 
     def test_changes_of_different_documents_do_not_conflict(self):
-        """Two operators who touch different templates both get through."""
+        """Concurrent edits of different templates are both committed."""
 
         async def run():
             await create_template(self.table, self.operation(), "a", Parameters())
@@ -153,7 +153,7 @@
         self.assertEqual(two.value.change.revision, 4)
 
     def test_template_in_use_is_not_deleted(self):
-        """A deletion would change accounts that the operator did not name."""
+        """Deleting it would change accounts that the operator did not name."""
 
         async def run():
             await create_template(self.table, self.operation(), "kiosk", Parameters())
@@ -173,10 +173,10 @@
         self.assertIsInstance(deleted, Done)
         self.assertEqual(missing.reason, Reason.NOT_FOUND)
 
-    def test_lost_answer_to_a_write_that_took_effect_is_done_once(self):
+    def test_write_with_a_lost_response_takes_effect_once(self):
         """
-        The table takes the change and its answer is lost. The command must
-        say that it is done, and must not write it a second time.
+        The table applies the change, but its response is lost. The command must
+        report the change as done and must not write it again.
         """
 
         async def run():
@@ -187,30 +187,30 @@
         self.assertEqual(created.value.outcome.change.revision, 1)
         snapshot = self.snapshot()
         self.assertEqual(snapshot.revision, 1)
-        account = snapshot.account_of_key_hash(hash_of_key(created.value.key))
+        account = snapshot.find_account_by_key_hash(hash_of_key(created.value.key))
         self.assertEqual(account.client_account, "lobby")
 
-    def test_write_that_arrives_after_it_was_given_up_does_nothing(self):
+    def test_abandoned_write_that_arrives_later_has_no_effect(self):
         """
-        A write hangs in the network past its timeout and arrives later. The
-        operator was told that it failed, so it must not come to life.
+        A write is delayed in the network past its timeout and arrives later. It was
+        reported to the operator as failed, so it must not take effect.
         """
 
         async def run():
             self.table.losses = ["late"]
             return await create_account(self.table, self.operation(), "lobby")
 
-        given_up = anyio.run(run)
-        self.assertEqual(given_up.reason, Reason.ANSWER_LOST)
-        self.assertIsInstance(given_up, Refused)
+        abandoned = anyio.run(run)
+        self.assertEqual(abandoned.reason, Reason.ANSWER_LOST)
+        self.assertIsInstance(abandoned, Refused)
         late = self.table.transact_now(self.table.held[0])
         self.assertEqual(late.reason, Reason.CONFLICT)
         self.assertEqual(self.snapshot().accounts, {})
 
-    def test_answers_lost_again_and_again_stay_unknown(self):
+    def test_outcome_is_unknown_if_every_response_is_lost(self):
         """
-        Each answer is lost, also to the questions after the write. The command
-        must not claim either way.
+        Every response is lost, also those to the attempts to determine the outcome.
+        The command must report neither success nor failure.
         """
 
         async def run():
@@ -219,11 +219,11 @@
 
         self.assertIsInstance(anyio.run(run), Unknown)
 
-    def test_same_operation_run_again_changes_nothing(self):
+    def test_repeated_operation_changes_nothing(self):
         """
-        The answer was lost for good, and the operator runs the command again
-        under the id it printed. It says what the first run did; an account's
-        key cannot be shown again, and the new one must not be shown as good.
+        The outcome is unknown, and the operator repeats the command with the printed
+        operation id. It must return the change of the first run. The key of an account
+        cannot be shown again, and a new key must not be shown as valid.
         """
 
         async def run():
@@ -242,7 +242,7 @@
         self.assertEqual(self.snapshot().revision, 2)
 
     def test_dry_run_writes_nothing(self):
-        """The change is shown and neither a row nor the revision is written."""
+        """A dry run returns the change and writes no rows."""
 
         async def run():
             return await create_account(
@@ -254,7 +254,7 @@
         self.assertEqual(self.table.writes, 0)
 
     def test_drained_target_stays_drained_when_its_description_changes(self):
-        """A new version number must not give work to a target being repaired."""
+        """Setting a new version must not resume a target that is being repaired."""
 
         async def run():
             engine = TargetParameters("t1", TargetKind.ENGINE, "erie", ("m",))
@@ -271,9 +271,9 @@
 
     def test_change_between_two_pages_does_not_mix_revisions(self):
         """
-        While a process reads all documents an operator deletes one that was
-        read already and adds one to a kind not yet read. The result must be
-        the state of one revision.
+        While a process reads all documents, an operator deletes a document that was
+        already read and adds one of a kind that was not. The result must be the
+        state of a single revision.
         """
         table, operation = self.table, self.operation
 
@@ -298,10 +298,10 @@
         names = [str(name) for name in documents.by_name]
         self.assertEqual(names, ["account lobby"])
 
-    def test_malformed_row_is_refused_and_unknown_parameter_left_out(self):
+    def test_malformed_row_is_refused_and_unknown_parameter_ignored(self):
         """
-        Somebody writes a row by hand, or a newer version writes a parameter
-        that this one does not know. Neither may end a daemon.
+        A row is written manually, or a newer version writes a parameter that this
+        version does not know. Neither may terminate a daemon.
         """
 
         async def run():
@@ -324,10 +324,10 @@
         self.assertEqual(template.parameters, Parameters(weight=2.0))
         self.assertEqual(broken.reason, Reason.BAD_REQUEST)
 
-    def test_missing_change_is_noticed(self):
+    def test_missing_change_is_detected(self):
         """
-        Somebody removed a row of the history by hand. A process must not skip
-        it and call itself up to date.
+        A row of the history was removed manually. A process must not skip the change
+        and consider itself up to date.
         """
 
         async def run():
--- a/tests/test_subset.py
+++ b/tests/test_subset.py
@@ -1,4 +1,4 @@
-"""Which targets a router watches in a large fleet."""
+"""Selection of the targets that a router watches in a large fleet."""
 
 import unittest
 from collections import Counter
@@ -30,7 +30,7 @@
     def subset(self, router="router-1", zone=ZONES[0]):
         return TargetSubset(router, zone, COUNT, 40)
 
-    def hear(self, address, models):
+    def receive(self, address, models):
         number = int(address.vm.removeprefix("vm-"))
         load = EngineLoad(0, 0, 8, 1.0, models, 0.0)
         heartbeat = Heartbeat(
@@ -43,7 +43,7 @@
         self.view.on_heartbeat(address.vm, heartbeat, sent_s=0.5, now_s=1.0)
 
     def watch(self, subset, wanted=MODELS):
-        """Choose and hear until the choice stays the same."""
+        """Select targets and receive their heartbeats until the selection is stable."""
         chosen = ()
         for _ in range(20):
             before = chosen
@@ -52,26 +52,26 @@
                 return chosen
             for address in chosen:
                 number = int(address.vm.removeprefix("vm-"))
-                self.hear(address, (MODELS[number * 7 // 11 % 3],))
-        self.fail("the choice never settled")
+                self.receive(address, (MODELS[number * 7 // 11 % 3],))
+        self.fail("the selection did not become stable within 20 rounds")
 
-    def test_each_model_has_targets_to_spare(self):
-        """A router happens to rank targets of two models first. Callers of the
-        third would be refused while most of the fleet serves it.
+    def test_each_model_has_enough_targets(self):
+        """A router ranks targets of only two models first. Requests for the third
+        model would be refused although many targets serve it.
         """
         for number in range(40):
             self.setUp()
             chosen = self.watch(self.subset(f"router-{number}"))
             self.assertLessEqual(len(chosen), 2 * COUNT)
-            having = Counter(
+            serving = Counter(
                 model
                 for address in chosen
                 for model in self.view.peer(address.vm).heartbeat.load.models
             )
-            self.assertGreaterEqual(min(having[model] for model in MODELS), 3)
+            self.assertGreaterEqual(min(serving[model] for model in MODELS), 3)
 
-    def test_targets_get_about_equally_many_routers(self):
-        """Capacity that no router watches is lost, and refuses callers."""
+    def test_targets_are_watched_by_similar_numbers_of_routers(self):
+        """A target that no router watches gets no work, and its capacity is lost."""
         count = Counter()
         peers = self.view.peers("target")
         for number in range(370):
@@ -81,20 +81,20 @@
         self.assertLessEqual(watched.count(0), 650 * 0.01)
         self.assertLessEqual(max(watched), 20)
 
-    def test_choice_outlasts_a_replacement(self):
-        """A target is replaced, as 270 are a day. All other choices stay, or
-        connections and prompt caches would be lost with each.
+    def test_selection_is_stable_when_a_target_is_replaced(self):
+        """A target is replaced, which happens 270 times a day. If the rest of the
+        selection changed, each replacement would lose connections and prompt caches.
         """
         subset = self.subset()
         peers = self.view.peers("target")
         before = set(subset.choose(peers, ()))
-        gone = sorted(before)[0]
-        rest = tuple(peer for peer in peers if peer.address != gone)
+        removed = sorted(before)[0]
+        rest = tuple(peer for peer in peers if peer.address != removed)
         after = set(subset.choose(rest, ()))
         self.assertEqual(len(before - after), 1)
 
-    def test_own_zone_has_half_of_the_choice_and_no_more_than_needed(self):
-        """A zone fails as a whole; the other half of the choice is elsewhere."""
+    def test_local_zone_has_half_but_not_all_of_the_selection(self):
+        """A zone may fail entirely, so the rest of the selection is in other zones."""
         peers = self.view.peers("target")
         zones = {peer.address: peer.availability_zone for peer in peers}
         chosen = self.subset().choose(peers, ())
@@ -102,7 +102,7 @@
         self.assertGreaterEqual(near, COUNT // 2)
         self.assertLess(near, COUNT)
 
-    def test_small_fleet_is_watched_whole(self):
-        """Fleets of today have a dozen targets; a router knows all of them."""
+    def test_small_fleet_is_watched_completely(self):
+        """In a fleet of a dozen targets a router watches all of them."""
         peers = self.view.peers("target")[:13]
         self.assertEqual(len(self.subset().choose(peers, MODELS)), 13)
--- a/tests/test_target_watch.py
+++ b/tests/test_target_watch.py
@@ -17,8 +17,8 @@
 
 POLICY = MembershipPolicy(
     heartbeat_interval_s=0.02,
-    least_interval_s=0.02,
-    least_list_interval_s=0.02,
+    min_interval_s=0.02,
+    min_list_interval_s=0.02,
     list_interval_s=0.02,
     heartbeat_timeout_s=0.01,
 )
