--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes, accounts and the belief in targets."""
+"""Routes, client accounts and the view of registered targets."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 
 
 def route(prefix: str, *services: WeightedService) -> Route:
-    """Return a route of one host."""
+    """Return a route of the test host."""
     shares = services or (WeightedService("lobby", 1.0),)
     return Route(prefix, "h.example", prefix, RouteKind.REPEATABLE, shares, 2, 1, 0)
 
 
 def target(name: str, leaving: bool = False) -> DirectTarget:
-    """Return a target of one service."""
+    """Return a target of the test service."""
     zone = AvailabilityZone("z")
     return DirectTarget(InstanceId(name), "lobby", "10.0.0.1:80", zone, 4, leaving)
 
 
 class TableTests(unittest.TestCase):
-    """Find routes and accounts."""
+    """Look up of routes and client accounts."""
 
     def setUp(self) -> None:
         account = ClientAccount(
@@ -49,7 +49,7 @@
         )
 
     def test_the_longest_prefix_wins(self) -> None:
-        """A path belongs to the most specific route, and only at its slashes."""
+        """A path matches the most specific route, and only at slashes."""
         for path, found in {
             "/a/x": "/a/",
             "/a/b/x/y": "/a/b/",
@@ -72,7 +72,7 @@
         self.assertAlmostEqual(drawn.count("new") / 2000, 0.1, delta=0.03)
 
     def test_any_key_of_an_account(self) -> None:
-        """Old and new keys of an account name it; others name nobody."""
+        """Any of an account's keys identifies it; other keys identify none."""
         for key in ("k1", "k2"):
             account = self.table.account(key)
             assert account is not None
@@ -81,29 +81,30 @@
 
 
 class FleetViewTests(unittest.TestCase):
-    """Believe in targets through an outage of their registry."""
+    """The view of the targets through an outage of their registry."""
 
-    def test_an_entry_that_goes_is_gone(self) -> None:
-        """While the registry is well, a removed target gets no more work."""
+    def test_a_removed_entry_is_dropped(self) -> None:
+        """While the registry responds, a removed target gets no more requests."""
         view = FleetView()
         view.put(target("a"))
-        view.registry_heard(1.0)
+        view.on_registry_response(1.0)
         view.remove(InstanceId("a"), 1.0)
         self.assertEqual(view.targets, {})
 
-    def test_entries_that_lapsed_in_an_outage_come_back(self) -> None:
-        """The registry was away, and targets could not renew their entries.
+    def test_entries_that_expired_in_an_outage_are_kept(self) -> None:
+        """Targets could not renew their entries during an outage of the registry.
 
-        A router that believed the first listing would refuse every caller although
-        all targets live; one that never believed it would send work to dead ones.
+        A router that applied the first listing at once would refuse every request
+        although all targets run; one that never applied it would send requests to
+        terminated targets.
         """
         view = FleetView()
         view.replace([target("a"), target("b")], 1.0)
-        view.registry_lost()
-        view.registry_heard(9.0)
+        view.on_registry_unavailable()
+        view.on_registry_response(9.0)
         view.replace([], 9.1)
         self.assertEqual(len(view.targets), 2)
         view.put(target("a"))
-        self.assertFalse(view.settle(10.0))
-        self.assertTrue(view.settle(11.0))
+        self.assertFalse(view.expire_missing(10.0))
+        self.assertTrue(view.expire_missing(11.0))
         self.assertEqual(list(view.targets), ["a"])
--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -204,11 +204,11 @@
         self.reader.listed((row("a", own, 1),))
         for _ in range(8):
             self.assertIsNotNone(self.place())
-        self.assertEqual(self.dispatcher.own_load()["a"].running, 8)
+        self.assertEqual(self.dispatcher.local_load()["a"].running, 8)
         for started in (STARTED_MS + 900, STARTED_MS - 70_000):
             # Its clock may have gone back meanwhile.
             self.reader.changed(row("a", {**own, "born": started}, self.placed))
-            self.assertEqual(self.dispatcher.own_load()["a"].running, 0)
+            self.assertEqual(self.dispatcher.local_load()["a"].running, 0)
             placement = self.place()
             self.assertEqual(placement.started_ms, started)
 
--- a/tests/test_target_word.py
+++ b/tests/test_target_word.py
@@ -120,23 +120,25 @@
 
     def test_work_goes_to_the_others_until_the_pause_is_over(self) -> None:
         """Guards against work that is pressed on a target within its pause."""
-        self.dispatcher.availability.hold_off(TargetName("a"), 1, 10.0)
+        self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.assertEqual(set(self.places(2, 1.0)), {"b"})
-        self.assertFalse(self.dispatcher.availability.takes_work(TargetName("a"), 9.9))
+        self.assertFalse(
+            self.dispatcher.availability.accepts_work(TargetName("a"), 9.9)
+        )
         self.assertIn("a", self.places(2, 10.1))
 
     def test_a_pause_ends_with_the_start_that_asked_for_it(self) -> None:
         """Guards against a target that is left alone for its predecessor's word."""
-        self.dispatcher.availability.hold_off(TargetName("a"), 1, 10.0)
+        self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.dispatcher.set_targets([view("a", 2), view("b")], 1.0)
         self.assertIn("a", self.places(2, 1.0))
-        self.dispatcher.availability.hold_off(TargetName("a"), 1, 10.0)
-        self.assertTrue(self.dispatcher.availability.takes_work(TargetName("a"), 1.0))
+        self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
+        self.assertTrue(self.dispatcher.availability.accepts_work(TargetName("a"), 1.0))
 
     def test_callers_hear_at_once_when_the_first_is_back(self) -> None:
         """Guards against work that piles up while all targets want nothing."""
-        self.dispatcher.availability.hold_off(TargetName("a"), 1, 10.0)
-        self.dispatcher.availability.hold_off(TargetName("b"), 1, 7.0)
+        self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
+        self.dispatcher.availability.back_off(TargetName("b"), 1, 7.0)
         refused = self.dispatcher.submit(work(1), 2.0)
         assert isinstance(refused, Refused)
         self.assertEqual(refused.reason, Reason.OVERLOADED)
@@ -147,7 +149,7 @@
         self.dispatcher.set_targets([view("a", slots=1)], 0.0)
         placed = [self.dispatcher.submit(work(number), 0.0) for number in range(9)]
         self.assertIsInstance(placed[-1], Queued)
-        self.dispatcher.availability.hold_off(TargetName("a"), 1, 10.0)
+        self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         decided = self.dispatcher.poll(1.0)
         self.assertTrue(decided)
         for decision in decided:
@@ -161,7 +163,9 @@
             self.dispatcher.submit(work(number), 0.0)
         self.dispatcher.set_targets([], 1.0)
         self.assertTrue(self.dispatcher.poll(1.0))
-        self.assertFalse(self.dispatcher.availability.takes_work(TargetName("a"), 1.0))
+        self.assertFalse(
+            self.dispatcher.availability.accepts_work(TargetName("a"), 1.0)
+        )
 
 
 class HealthTests(unittest.TestCase):
