--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -21,12 +21,18 @@
 from attrs import frozen
 
 from endivegw.daemons.claim_slot import KeptSlot
-from endivegw.requests.claims import Claim, ClaimAsk, ClaimLimits, Granted, SlotOwner
-from endivegw.requests.slots import Beat, Slot
+from endivegw.requests.claims import (
+    Claim,
+    ClaimLimits,
+    ClaimProposal,
+    Granted,
+    SlotOwner,
+)
+from endivegw.requests.slots import Slot, SlotHeartbeat
 from endivegw.types import AttemptId, InstanceId, Outcome, TargetName
 from endivegw_standins.faulty_table import FaultyTable, TableFaults
 from endivegw_standins.memory_table import MemoryTable
-from endivegw_standins.request_faults import FAULTS, play
+from endivegw_standins.request_faults import FAULTS, fault_scenario
 from endivegw_standins.request_world import (
     RequestWorld,
     WorldLimits,
@@ -69,7 +75,7 @@
 def run_fault(job: FaultJob) -> tuple[FaultJob, WorldReport]:
     """Run one world under one fault."""
     logbook.NullHandler(level=0).push_application()
-    run = play(job.fault, WORLD_REQUESTS, 10.0, 0.3)
+    run = fault_scenario(job.fault, WORLD_REQUESTS, 10.0, 0.3)
     return job, run_world(WorldLimits(), job.seed, run)
 
 
@@ -134,8 +140,8 @@
         retries_s.extend(report.retry_s)
     figures = (
         sum(report.requests for report in reports),
-        sum(report.doubled for report in reports),
-        sum(report.told_not_run_but_ran for report in reports),
+        sum(report.ran_twice for report in reports),
+        sum(report.false_not_run for report in reports),
         sum(report.wrong_bytes for report in reports),
         first[Outcome.UNKNOWN.value],
         last[Outcome.UNKNOWN.value],
@@ -211,15 +217,15 @@
         memory = MemoryTable()
         table = FaultyTable(memory, TableFaults(latency_s=0.005), rng, tasks)
         slot = Slot(0, TargetName("t"), InstanceId("i"), "vm", "a", 1, False, 0)
-        owner = SlotOwner(0, ClaimLimits(), beat_at_s=clock())
-        kept = KeptSlot(slot, owner, Beat(0, 0, 0), table, clock, clock)
+        owner = SlotOwner(0, ClaimLimits(), last_heartbeat_s=clock())
+        kept = KeptSlot(slot, owner, SlotHeartbeat(0, 0, 0), table, clock, clock)
         tasks.start_soon(kept.keep)
         await anyio.sleep(1.0)
         began_s, before = clock(), memory.writes
 
         async def ask(number: int) -> None:
             asked_s = clock()
-            answer = await kept.ask(ClaimAsk(_claim(number)), 5.0)
+            answer = await kept.ask(ClaimProposal(_claim(number)), 5.0)
             if not isinstance(answer, Granted):
                 raise SystemExit(f"a claim was not granted: {answer}")
             waits_s.append(clock() - asked_s)
@@ -246,19 +252,19 @@
     count = 20_000
     gc.collect()
     tracemalloc.start()
-    owner = SlotOwner(0, ClaimLimits(spacing_s=0.0), beat_at_s=0.0)
+    owner = SlotOwner(0, ClaimLimits(commit_interval_s=0.0), last_heartbeat_s=0.0)
     for number in range(count):
-        owner.ask(ClaimAsk(_claim(number)), 0.0)
+        owner.ask(ClaimProposal(_claim(number)), 0.0)
     while (commit := owner.next_commit(0.0)) is not None:
         owner.committed(commit)
     size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     samples_us: list[float] = []
     for _ in range(5):
-        owner = SlotOwner(0, ClaimLimits(spacing_s=0.0), beat_at_s=0.0)
+        owner = SlotOwner(0, ClaimLimits(commit_interval_s=0.0), last_heartbeat_s=0.0)
         began_s = time.process_time()
         for number in range(count):
-            owner.ask(ClaimAsk(_claim(number)), 0.0)
+            owner.ask(ClaimProposal(_claim(number)), 0.0)
         while (commit := owner.next_commit(0.0)) is not None:
             owner.committed(commit)
         samples_us.append(1e6 * (time.process_time() - began_s) / count)
--- a/src/endivegw/composition/direct_router.py
+++ b/src/endivegw/composition/direct_router.py
@@ -27,7 +27,7 @@
 from endivegw.gossip.link import MOST_WITNESSES
 from endivegw.gossip.messages import TargetLeaving
 from endivegw.gossip.peers import PEERS_TABLE
-from endivegw.quarantine import Evidence, QuarantineKeeper, TargetStart
+from endivegw.quarantine import Evidence, QuarantineManager, TargetStart
 from endivegw.relay.context import RelayContext
 from endivegw.relay.handler import RequestHandler
 from endivegw.relay.target_ends import TargetEnds
@@ -120,14 +120,14 @@
         started_s=started_s,
         on_gone=lambda vm: peer_reader.remove(store, vm, timeout_s=_REMOVE_S),
     )
-    quarantine = QuarantineKeeper(store, link.spread, rng, clock, log)
+    quarantine = QuarantineManager(store, link.spread, rng, clock, log)
     pool = TargetPool(clock)
     context = RelayContext(
         wire=wire,
         keeper=keeper,
         queue=PlacementQueue(dispatcher, clock),
         pool=pool,
-        ends=TargetEnds(pool, quarantine.ended, clock, log),
+        ends=TargetEnds(pool, quarantine.record_termination, clock, log),
         quarantine=quarantine,
         retries=RetryBudget(RetryPolicy(settings.retry_share, settings.retry_burst)),
         rng=rng,
@@ -150,7 +150,7 @@
             case TargetLeaving(start):
                 on_leaving(start, "peer")
             case _:
-                quarantine.hear(told)
+                quarantine.receive(told)
 
     def on_configuration() -> None:
         if context.table is not None:
--- a/src/endivegw/composition/router.py
+++ b/src/endivegw/composition/router.py
@@ -23,7 +23,7 @@
 from endivegw.decisions import SERVICE_PREFIX, Dispatcher, Policy
 from endivegw.membership import MembershipPolicy, Peer, PeerAddress, TargetSubset
 from endivegw.peers import SidecarClient
-from endivegw.quarantine import QuarantineKeeper
+from endivegw.quarantine import QuarantineManager
 from endivegw.services.table_rows import TableRows
 from endivegw.settings import RouterSettings
 from endivegw.telemetry import EventLog
@@ -62,10 +62,10 @@
         process.identity.instance_id,
         process.book,
         process.header,
-        lambda evidence: quarantine.hear(evidence),
+        lambda evidence: quarantine.receive(evidence),
         process.rng,
     )
-    quarantine = QuarantineKeeper(
+    quarantine = QuarantineManager(
         TableRows(process.platform.table),
         news.tell,
         process.rng,
--- a/src/endivegw/daemons/claim_client.py
+++ b/src/endivegw/daemons/claim_client.py
@@ -9,7 +9,7 @@
 from endivegw.exceptions import PeerError
 from endivegw.peers import SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.requests.claims import ClaimAnswer, ClaimAsk
+from endivegw.requests.claims import ClaimAnswer, ClaimProposal
 from endivegw.requests.slots import DEFAULT_SLOTS, Slot, slot_of
 from endivegw.results import Reason, Refused
 from endivegw.types import RequestIdentity
@@ -45,7 +45,7 @@
         self._clients: dict[str, SidecarClient] = {}
 
     async def claim(
-        self, identity: RequestIdentity, ask: ClaimAsk
+        self, identity: RequestIdentity, proposal: ClaimProposal
     ) -> ClaimAnswer | None:
         """Return the owner's word, None where there is none for now."""
         owner = self._maps.current.owner(slot_of(identity, self._slots))
@@ -53,14 +53,14 @@
             self._maps.want()
             return None
         client = self._client(owner)
-        timeout_s = _HINT_TIMEOUT_S if ask.repeatable else _TIMEOUT_S
+        timeout_s = _HINT_TIMEOUT_S if proposal.repeatable else _TIMEOUT_S
         try:
-            request = request_of(identity, ask, self._header())
+            request = request_of(identity, proposal, self._header())
             reply = await client.claim(request, timeout_s)
         except PeerError:
             self._maps.want()
             return None
-        answer = answer_of(ask, reply)
+        answer = answer_of(proposal, reply)
         if isinstance(answer, Refused) and answer.reason is Reason.CLAIM_UNAVAILABLE:
             # Another owner, or one that cannot write for now.
             self._maps.want()
--- a/src/endivegw/daemons/claim_desk.py
+++ b/src/endivegw/daemons/claim_desk.py
@@ -13,9 +13,16 @@
 from endivegw.daemons.sidecar_ports import Clock
 from endivegw.daemons.slot_map_reader import read_slot_map
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.requests.claim_rows import take_transaction
+from endivegw.requests.claim_rows import acquire_transaction
 from endivegw.requests.claims import ClaimAnswer, ClaimLimits, SlotOwner
-from endivegw.requests.slots import Beat, Slot, SlotWatch, Take, TakeRule, slot_of
+from endivegw.requests.slots import (
+    AcquisitionRule,
+    Slot,
+    SlotAcquisition,
+    SlotHeartbeat,
+    SlotWatch,
+    slot_of,
+)
 from endivegw.results import Done, Reason, Refused
 from endivegw.services import TablePort, VmListPort, VmState
 from endivegw.telemetry import EventLog
@@ -54,7 +61,7 @@
     near_watch_s: float = 3.0
     list_s: float = 120.0
     wait_s: float = 2.0
-    rule: TakeRule = TakeRule()
+    rule: AcquisitionRule = AcquisitionRule()
     limits: ClaimLimits = ClaimLimits()
 
 
@@ -157,14 +164,14 @@
         self._watch_interval_s = settings.near_watch_s if near else settings.watch_s
         listed = named | self._not_yet_absent(named)
         now_s, wall_s = self._clock(), self._wall()
-        for take in self._watch.takes(listed, self._live, now_s, wall_s):
-            await self._try(take, tasks)
+        for acquisition in self._watch.acquisitions(listed, self._live, now_s, wall_s):
+            await self._try(acquisition, tasks)
 
     def _list_is_due(self) -> bool:
         now_s = self._clock()
         if now_s - self._listed_at_s >= self._settings.list_s:
             return True
-        return self._watch.needs_list(self._live, now_s)
+        return self._watch.needs_vm_list(self._live, now_s)
 
     def _adopt(self, tasks: TaskGroup) -> None:
         """Own what was taken by a write whose answer was lost."""
@@ -185,39 +192,39 @@
         self._absent_before = absent
         return fresh
 
-    async def _try(self, take: Take, tasks: TaskGroup) -> None:
-        if take.slot in self._kept:
+    async def _try(self, acquisition: SlotAcquisition, tasks: TaskGroup) -> None:
+        if acquisition.slot in self._kept:
             return
         own = self._settings
-        transaction = take_transaction(
-            take, own.target, own.instance_id, own.vm, own.address
+        transaction = acquire_transaction(
+            acquisition, own.target, own.instance_id, own.vm, own.address
         )
         result = await self._table.transact(transaction, timeout_s=1.0)
         # Lost answer: the next reading of the map shows whether it took effect.
         if not isinstance(result, Done):
             return
         slot = Slot(
-            take.slot,
+            acquisition.slot,
             own.target,
             own.instance_id,
             own.vm,
             own.address,
-            take.epoch,
-            take.tainted,
-            take.expected_version + 1,
+            acquisition.epoch,
+            acquisition.tainted,
+            acquisition.expected_version + 1,
         )
         self._own(slot, tasks)
 
     def _own(self, slot: Slot, tasks: TaskGroup) -> None:
         now_s = self._clock()
         limits = self._settings.limits
-        owner = SlotOwner(slot.number, limits, beat_at_s=now_s)
+        owner = SlotOwner(slot.number, limits, last_heartbeat_s=now_s)
         if slot.tainted:
             owner.tainted_until_s = now_s + limits.retention_s
-        known = self._watch.current.beats.get(slot.number)
+        known = self._watch.current.heartbeats.get(slot.number)
         count = 0 if known is None else known.count
-        beat = Beat(count, count, int(self._wall() * 1000))
-        kept = KeptSlot(slot, owner, beat, self._table, self._clock, self._wall)
+        heartbeat = SlotHeartbeat(count, count, int(self._wall() * 1000))
+        kept = KeptSlot(slot, owner, heartbeat, self._table, self._clock, self._wall)
         self._kept[slot.number] = kept
         self._log.emit(
             SLOT_TAKEN, slot=slot.number, epoch=slot.epoch, tainted=slot.tainted
--- a/src/endivegw/daemons/claim_messages.py
+++ b/src/endivegw/daemons/claim_messages.py
@@ -8,7 +8,7 @@
     CannotTell,
     Claim,
     ClaimAnswer,
-    ClaimAsk,
+    ClaimProposal,
     Existing,
     Granted,
     Waiting,
@@ -27,7 +27,7 @@
     )
 
 
-def ask_of(request: pb.ClaimRequest) -> ClaimAsk:
+def ask_of(request: pb.ClaimRequest) -> ClaimProposal:
     """Return what a router asks for."""
     claim = Claim(
         claim_key(identity_of(request)),
@@ -37,24 +37,24 @@
         request.body_digest,
     )
     replaces = AttemptId(request.replaces_attempt_id)
-    return ClaimAsk(claim, replaces, request.repeatable, request.lookup_only)
+    return ClaimProposal(claim, replaces, request.repeatable, request.lookup_only)
 
 
 def request_of(
-    identity: RequestIdentity, ask: ClaimAsk, header: pb.Header
+    identity: RequestIdentity, proposal: ClaimProposal, header: pb.Header
 ) -> pb.ClaimRequest:
     """Return the message for what a router asks."""
     return pb.ClaimRequest(
         header=header,
         client_account=identity.client_account,
         idempotency_key=identity.idempotency_key,
-        attempt_id=ask.claim.attempt_id,
-        body_digest=ask.claim.body_digest,
-        target=ask.claim.target,
-        target_instance_id=ask.claim.incarnation,
-        replaces_attempt_id=ask.replaces,
-        repeatable=ask.repeatable,
-        lookup_only=ask.lookup_only,
+        attempt_id=proposal.claim.attempt_id,
+        body_digest=proposal.claim.body_digest,
+        target=proposal.claim.target,
+        target_instance_id=proposal.claim.incarnation,
+        replaces_attempt_id=proposal.replaces,
+        repeatable=proposal.repeatable,
+        lookup_only=proposal.lookup_only,
     )
 
 
@@ -81,7 +81,7 @@
     return reply
 
 
-def answer_of(ask: ClaimAsk, reply: pb.ClaimReply) -> ClaimAnswer:
+def answer_of(proposal: ClaimProposal, reply: pb.ClaimReply) -> ClaimAnswer:
     """Return what the owner said; an unreadable reply is a refusal."""
     match reply.WhichOneof("kind"):
         case "granted":
@@ -89,7 +89,7 @@
         case "existing":
             held = reply.existing
             claim = Claim(
-                ask.claim.key,
+                proposal.claim.key,
                 AttemptId(held.attempt_id),
                 TargetName(held.target),
                 held.target_instance_id,
--- a/src/endivegw/daemons/claim_slot.py
+++ b/src/endivegw/daemons/claim_slot.py
@@ -8,18 +8,18 @@
 
 from endivegw.daemons.sidecar_ports import Clock
 from endivegw.requests.claim_rows import (
-    beat_transaction,
+    acquire_transaction,
     claims_of_rows,
     commit_transaction,
+    heartbeat_transaction,
     next_sequence_of_rows,
     release_transaction,
     ring_partition,
     slot_key,
     slot_map_of_rows,
-    take_transaction,
 )
-from endivegw.requests.claims import ClaimAnswer, ClaimAsk, SlotOwner, Waiting
-from endivegw.requests.slots import Beat, Slot, Take
+from endivegw.requests.claims import ClaimAnswer, ClaimProposal, SlotOwner, Waiting
+from endivegw.requests.slots import Slot, SlotAcquisition, SlotHeartbeat
 from endivegw.results import Done, Reason, Refused
 from endivegw.services import Row, TablePort, Transaction
 
@@ -51,14 +51,14 @@
         self,
         slot: Slot,
         owner: SlotOwner,
-        beat: Beat,
+        heartbeat: SlotHeartbeat,
         table: TablePort,
         clock: Clock,
         wall: Callable[[], float],
     ) -> None:
         self.slot = slot
         self.owner = owner
-        self._beat = beat
+        self._beat = heartbeat
         self._beat_due_s = clock()
         self._table = table
         self._clock = clock
@@ -67,7 +67,7 @@
         self._changed = anyio.Event()
         self._asked = anyio.Event()
 
-    async def ask(self, ask: ClaimAsk, wait_s: float) -> ClaimAnswer:
+    async def ask(self, ask: ClaimProposal, wait_s: float) -> ClaimAnswer:
         """Answer a claim; waiting where it is not written within ``wait_s``."""
         give_up_s = self._clock() + wait_s
         while True:
@@ -110,7 +110,7 @@
         transaction = release_transaction(self.slot, tainted=tainted)
         done = await self._transact(transaction)
         if done:
-            self.owner.deposed()
+            self.owner.ownership_lost()
         return done
 
     def _tainted(self) -> bool:
@@ -153,23 +153,25 @@
         return True
 
     async def _write_beat(self, now_s: float) -> bool:
-        beat = Beat(
+        heartbeat = SlotHeartbeat(
             self._beat.count + 1, self._beat.confirmed, self._beat.confirmed_wall_ms
         )
         # The number is used up even if the answer is lost.
-        self._beat = beat
-        if not await self._transact(beat_transaction(self.slot, beat)):
+        self._beat = heartbeat
+        if not await self._transact(heartbeat_transaction(self.slot, heartbeat)):
             return self.owner.lost
-        self._beat = Beat(beat.count, beat.count, int(self._wall() * 1000))
-        self.owner.beat(self._clock())
-        self._beat_due_s = now_s + self.owner.limits.beat_s
+        self._beat = SlotHeartbeat(
+            heartbeat.count, heartbeat.count, int(self._wall() * 1000)
+        )
+        self.owner.heartbeat(self._clock())
+        self._beat_due_s = now_s + self.owner.limits.heartbeat_interval_s
         return True
 
     async def _clear_taint(self) -> bool:
         slot = self.slot
-        take = Take(slot.number, slot.version, slot.epoch, False)
-        transaction = take_transaction(
-            take, slot.target, slot.instance_id, slot.vm, slot.address
+        acquisition = SlotAcquisition(slot.number, slot.version, slot.epoch, False)
+        transaction = acquire_transaction(
+            acquisition, slot.target, slot.instance_id, slot.vm, slot.address
         )
         if not await self._transact(transaction):
             return self.owner.lost
@@ -196,7 +198,7 @@
         found = slot_map_of_rows(rows, self._clock()).slots.get(self.slot.number)
         mine = found is not None and not found.released
         if found is None or not mine or not self._is_own(found):
-            self.owner.deposed()
+            self.owner.ownership_lost()
             return
         self.slot = found
 
--- a/src/endivegw/daemons/direct_router.py
+++ b/src/endivegw/daemons/direct_router.py
@@ -99,7 +99,7 @@
         """Return whether the balancer should send callers here."""
         context = self._parts.context
         known = context.table is not None and self._parts.keeper.ready
-        return known and context.quarantine.asked and not context.draining
+        return known and context.quarantine.listing_attempted and not context.draining
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until stopped."""
--- a/src/endivegw/daemons/request_content.py
+++ b/src/endivegw/daemons/request_content.py
@@ -5,7 +5,7 @@
 from endivegw.daemons.request_plan import RequestPlan
 from endivegw.quarantine import (
     Fingerprint,
-    QuarantineKeeper,
+    QuarantineManager,
     TargetStart,
     fingerprint_of,
 )
@@ -18,7 +18,7 @@
 class RequestContent:
     """Report one request's attempts, and say whether it may go to further targets."""
 
-    def __init__(self, plan: RequestPlan, quarantine: QuarantineKeeper) -> None:
+    def __init__(self, plan: RequestPlan, quarantine: QuarantineManager) -> None:
         self._quarantine = quarantine
         #: None for a body that flows through: its digest does not tell it from others.
         self._fingerprint = _fingerprint(plan) if plan.can_be_sent_again else None
@@ -43,7 +43,7 @@
         """
         if self._fingerprint is not None:
             start = TargetStart(InstanceId(end), None)
-            self._quarantine.ended(start, [self._fingerprint])
+            self._quarantine.record_termination(start, [self._fingerprint])
 
     def answered(self) -> None:
         """Take in that a target ran the request to its end."""
--- a/src/endivegw/daemons/request_driver.py
+++ b/src/endivegw/daemons/request_driver.py
@@ -11,16 +11,16 @@
 from endivegw.exceptions import PeerError
 from endivegw.peers import NotDelivered, SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.requests.attempts import RequestMachine
-from endivegw.requests.claims import ClaimAnswer, ClaimAsk
+from endivegw.requests.attempts import RequestStateMachine
+from endivegw.requests.claims import ClaimAnswer, ClaimProposal
 from endivegw.requests.steps import (
-    AskClaim,
     CancelAttempt,
     Ending,
     Finish,
     HandOver,
     Pause,
     Place,
+    ProposeClaim,
     Step,
 )
 from endivegw.results import Reason, Refused
@@ -70,7 +70,7 @@
     def body(self) -> AsyncIterator[bytes] | None:
         """Return the rest of a body that was not held, None where it was."""
 
-    async def claim(self, ask: ClaimAsk) -> ClaimAnswer | None:
+    async def claim(self, proposal: ClaimProposal) -> ClaimAnswer | None:
         """Ask the slot's owner; None where it gave no answer."""
 
     async def head(self, status: int, fields: tuple[tuple[str, str], ...]) -> None:
@@ -99,7 +99,10 @@
     """Run one request from its first step to its ending."""
 
     def __init__(
-        self, machine: RequestMachine, ports: RequestPorts, clock: Callable[[], float]
+        self,
+        machine: RequestStateMachine,
+        ports: RequestPorts,
+        clock: Callable[[], float],
     ) -> None:
         self._machine = machine
         self._ports = ports
@@ -113,7 +116,7 @@
         """
         remaining_s = self._machine.facts.deadline_s - self._clock()
         with anyio.move_on_after(max(0.0, remaining_s)):
-            return await self._steps(self._machine.begin(self._clock()))
+            return await self._steps(self._machine.start(self._clock()))
         return await self.stop(Reason.DEADLINE)
 
     async def stop(self, reason: Reason) -> Ending:
@@ -139,13 +142,13 @@
                     return machine.not_placed(placed, self._clock())
                 now_s = self._clock()
                 return machine.placed(placed.target, placed.incarnation, now_s)
-            case AskClaim(ask=ask):
-                answer = await self._ports.claim(ask)
+            case ProposeClaim(proposal=proposal):
+                answer = await self._ports.claim(proposal)
                 if answer is None:
                     return machine.claim_lost(self._clock())
                 return machine.claim_answered(answer, self._clock())
-            case Pause(seconds_s=seconds_s):
-                await anyio.sleep(seconds_s)
+            case Pause(duration_s=duration_s):
+                await anyio.sleep(duration_s)
                 return machine.paused(self._clock())
             case HandOver():
                 return await self._hand_over(step)
--- a/src/endivegw/daemons/request_run.py
+++ b/src/endivegw/daemons/request_run.py
@@ -21,8 +21,8 @@
 from endivegw.decisions import AttemptEnd, AttemptKind, Placement
 from endivegw.peers import SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.requests.attempts import RequestMachine
-from endivegw.requests.claims import ClaimAnswer, ClaimAsk
+from endivegw.requests.attempts import RequestStateMachine
+from endivegw.requests.claims import ClaimAnswer, ClaimProposal
 from endivegw.requests.steps import Ending, HandOver
 from endivegw.results import Reason, Refused, Unknown
 from endivegw.telemetry.catalogue import router as events
@@ -40,7 +40,7 @@
     def __init__(
         self,
         plan: RequestPlan,
-        machine: RequestMachine,
+        machine: RequestStateMachine,
         sink: AnswerSink,
         parts: RunnerParts,
         held: HeldAttempts,
@@ -122,9 +122,9 @@
         call = self._plan.request.call
         return call.rest if isinstance(call, ServiceCall) else None
 
-    async def claim(self, ask: ClaimAsk) -> ClaimAnswer | None:
+    async def claim(self, proposal: ClaimProposal) -> ClaimAnswer | None:
         """Ask the slot's owner; None where it gave no answer."""
-        return await self._parts.claims.claim(self._plan.facts.identity, ask)
+        return await self._parts.claims.claim(self._plan.facts.identity, proposal)
 
     async def head(self, status: int, fields: tuple[tuple[str, str], ...]) -> None:
         """Take the head of the answer; a rejoined answer brings it again."""
--- a/src/endivegw/daemons/request_runner.py
+++ b/src/endivegw/daemons/request_runner.py
@@ -19,9 +19,9 @@
 from endivegw.daemons.sidecar_links import SidecarDirectory
 from endivegw.decisions import RetryBudget, RetryPolicy
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.quarantine import QuarantineKeeper
+from endivegw.quarantine import QuarantineManager
 from endivegw.requests.attempt_limits import AttemptLimits
-from endivegw.requests.attempts import RequestMachine
+from endivegw.requests.attempts import RequestStateMachine
 from endivegw.telemetry import EventLog, Metrics
 from endivegw.types import AttemptId
 
@@ -40,7 +40,7 @@
     queue: PlacementQueue
     sidecars: SidecarDirectory
     claims: ClaimClient
-    quarantine: QuarantineKeeper
+    quarantine: QuarantineManager
     header: Callable[[], pb.Header]
     on_header: Callable[[pb.Header], None]
     clock: Callable[[], float]
@@ -86,7 +86,7 @@
     def _new_run(self, request: RoutedRequest, sink: AnswerSink) -> RequestRun:
         parts = self._parts
         plan = plan_request(request)
-        machine = RequestMachine(
+        machine = RequestStateMachine(
             plan.facts,
             parts.limits,
             parts.retry_policy,
--- a/src/endivegw/daemons/router_news.py
+++ b/src/endivegw/daemons/router_news.py
@@ -10,7 +10,7 @@
 from endivegw.gossip.messages import News, decode, encode
 from endivegw.gossip.rumours import Rumours
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.quarantine import Evidence, RequestRecord, TargetEnded
+from endivegw.quarantine import Evidence, RequestRecord, TargetTerminated
 from endivegw.types import InstanceId
 
 __all__ = ["RouterNews"]
@@ -53,7 +53,7 @@
     def hear(self, data: bytes) -> None:
         """Take in what a peer passes on; what cannot be read is dropped."""
         match decode(data):
-            case News(_, TargetEnded() | RequestRecord() as evidence):
+            case News(_, TargetTerminated() | RequestRecord() as evidence):
                 self._on_evidence(evidence)
 
     def _peers(self) -> list[InstanceId]:
--- a/src/endivegw/daemons/sidecar.py
+++ b/src/endivegw/daemons/sidecar.py
@@ -36,8 +36,8 @@
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.peers._generated.endivegw_peers_grpc import SidecarBase
 from endivegw.requests.starts import (
-    AnswerGone,
-    Follow,
+    AnswerDiscarded,
+    JoinAttempt,
     MayStart,
     StartRegistry,
 )
@@ -166,9 +166,9 @@
                 self._log_refusal(start, refused)
                 frame = refusal_frame(self._header(), start.attempt_id, refused)
                 await stream.send_message(frame)
-            case AnswerGone():
+            case AnswerDiscarded():
                 await stream.send_message(answer_gone_frame(start.attempt_id))
-            case Follow(attempt_id=attempt_id):
+            case JoinAttempt(attempt_id=attempt_id):
                 await self._join(stream, start, attempt_id)
             case MayStart():
                 await self._start(stream, start)
@@ -266,7 +266,7 @@
 
     async def _decide(
         self, start: pb.ExecuteStart
-    ) -> MayStart | Follow | AnswerGone | Refused:
+    ) -> MayStart | JoinAttempt | AnswerDiscarded | Refused:
         if self._holders is not None and start.grant_id:
             refused = await self._holders.ready_for(
                 GrantId(start.grant_id),
@@ -279,7 +279,7 @@
 
     def _decide_without_start(
         self, start: pb.ExecuteStart, why: Refused
-    ) -> MayStart | Follow | AnswerGone | Refused:
+    ) -> MayStart | JoinAttempt | AnswerDiscarded | Refused:
         # Joins need no grant, and pass also where the table is away.
         start.join_only = True
         match self._gate.check(start):
@@ -333,7 +333,7 @@
     async def _refuse_work(self, stream: Any, start: pb.ExecuteStart, run: Run) -> None:
         # The grant was admitted and nothing runs under it.
         if run.reserved:
-            self._grants.end(run.offer.attempt_id, run.usage, self._clock())
+            self._grants.end(run.order.attempt_id, run.usage, self._clock())
         refused = Refused(Reason.NO_TARGET, "another kind of target stands here")
         self._log_refusal(start, refused)
         frame = refusal_frame(self._header(), start.attempt_id, refused)
--- a/src/endivegw/daemons/sidecar_frames.py
+++ b/src/endivegw/daemons/sidecar_frames.py
@@ -6,7 +6,7 @@
 
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.requests.buffer import BufferEnd, BufferFailure, BufferHead
-from endivegw.requests.starts import Offer
+from endivegw.requests.starts import StartOrder
 from endivegw.results import Reason, Refused
 from endivegw.types import AttemptId, ClientAccountName, RequestIdentity
 
@@ -24,12 +24,12 @@
 NO_RETRY_TIME = -1.0
 
 
-def offer_of(start: pb.ExecuteStart) -> Offer:
+def offer_of(start: pb.ExecuteStart) -> StartOrder:
     """Return what a start message asks for."""
     identity = RequestIdentity(
         ClientAccountName(start.client_account), start.idempotency_key
     )
-    return Offer(
+    return StartOrder(
         identity,
         AttemptId(start.attempt_id),
         start.body_digest,
--- a/src/endivegw/daemons/sidecar_gate.py
+++ b/src/endivegw/daemons/sidecar_gate.py
@@ -8,7 +8,12 @@
 from endivegw.daemons.sidecar_frames import offer_of
 from endivegw.daemons.sidecar_ports import Clock, GrantGate, KnownConfiguration
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.requests.starts import AnswerGone, Follow, MayStart, StartRegistry
+from endivegw.requests.starts import (
+    AnswerDiscarded,
+    JoinAttempt,
+    MayStart,
+    StartRegistry,
+)
 from endivegw.results import Reason, Refused
 from endivegw.types import (
     AttemptId,
@@ -62,7 +67,9 @@
             return Refused(Reason.STALE_CONFIGURATION, detail)
         return None
 
-    def check(self, start: pb.ExecuteStart) -> MayStart | Follow | AnswerGone | Refused:
+    def check(
+        self, start: pb.ExecuteStart
+    ) -> MayStart | JoinAttempt | AnswerDiscarded | Refused:
         """Decide on an order; a start has its grant admitted.
 
         Joins and replays pass while draining and without a grant: they start
@@ -71,7 +78,7 @@
         refused = self.check_sender(start.header)
         if refused is not None:
             return refused
-        decision = self.registry.offer(offer_of(start), self.clock())
+        decision = self.registry.decide(offer_of(start), self.clock())
         if not isinstance(decision, MayStart):
             return decision
         if self.leaving:
--- a/src/endivegw/daemons/sidecar_run.py
+++ b/src/endivegw/daemons/sidecar_run.py
@@ -9,7 +9,7 @@
 from endivegw.daemons.sidecar_frames import head_frame, outcome_frame
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.requests.buffer import AnswerBuffer, BufferFailure, DataLost
-from endivegw.requests.starts import Offer
+from endivegw.requests.starts import StartOrder
 from endivegw.results import Reason, Refused
 from endivegw.types import Usage
 
@@ -36,8 +36,10 @@
     :param deadline_s: by which the answer must be whole, on the sidecar's clock.
     """
 
-    def __init__(self, offer: Offer, buffer: AnswerBuffer, deadline_s: float) -> None:
-        self.offer = offer
+    def __init__(
+        self, order: StartOrder, buffer: AnswerBuffer, deadline_s: float
+    ) -> None:
+        self.order = order
         self.buffer = buffer
         self.deadline_s = deadline_s
         self.ended_s: float | None = None
@@ -55,7 +57,7 @@
     @property
     def attempt_id(self) -> str:
         """Return the attempt's id."""
-        return self.offer.attempt_id
+        return self.order.attempt_id
 
     @property
     def readers(self) -> int:
--- a/src/endivegw/daemons/sidecar_work.py
+++ b/src/endivegw/daemons/sidecar_work.py
@@ -12,7 +12,7 @@
 from endivegw.daemons.sidecar_run import Run
 from endivegw.exceptions import InvariantError
 from endivegw.requests.buffer import AnswerBuffer, BufferEnd
-from endivegw.requests.starts import Offer, StartRegistry
+from endivegw.requests.starts import StartOrder, StartRegistry
 from endivegw.results import Reason, Refused
 from endivegw.telemetry import EventLog, Metrics
 from endivegw.telemetry.catalogue.sidecar import (
@@ -74,11 +74,11 @@
         """Return an attempt whose answer is held."""
         return self._runs.get(attempt_id)
 
-    def new_run(self, offer: Offer, remaining_s: float) -> Run:
+    def new_run(self, order: StartOrder, remaining_s: float) -> Run:
         """Return a run that is not started yet."""
         deadline_s = self._clock() + remaining_s
         buffer = AnswerBuffer(self._settings.answer_bytes)
-        run = Run(offer, buffer, deadline_s)
+        run = Run(order, buffer, deadline_s)
         run.scope.deadline = anyio.current_time() + remaining_s
         return run
 
@@ -89,13 +89,13 @@
         """
         if self._tasks is None:
             raise InvariantError("the sidecar does not serve yet")
-        self.registry.start(run.offer, self._clock())
-        self._runs[run.offer.attempt_id] = run
+        self.registry.start(run.order, self._clock())
+        self._runs[run.order.attempt_id] = run
         self._log.emit(
             ATTEMPT_STARTED,
             attempt_id=run.attempt_id,
-            client_account=run.offer.identity.client_account,
-            repeatable=run.offer.repeatable,
+            client_account=run.order.identity.client_account,
+            repeatable=run.order.repeatable,
             running=self.running,
         )
         self._metrics.incr("attempts.started")
@@ -146,15 +146,15 @@
 
     def _finish(self, run: Run, usage: Usage, started_s: float) -> None:
         now_s = self._clock()
-        attempt_id = run.offer.attempt_id
+        attempt_id = run.order.attempt_id
         outcome = run.buffer.outcome
         if run.reserved:
             self._charge(attempt_id, usage, now_s)
         if isinstance(outcome, Refused):
-            self.registry.never_began(attempt_id)
+            self.registry.record_never_started(attempt_id)
             del self._runs[attempt_id]
         else:
-            self.registry.ended(attempt_id, whole=isinstance(outcome, BufferEnd))
+            self.registry.ended(attempt_id, complete=isinstance(outcome, BufferEnd))
             self._ended[attempt_id] = run
             self._kept_bytes += run.buffer.held_bytes
         run.ended_s = now_s
@@ -164,7 +164,7 @@
         self._log.emit(
             ATTEMPT_ENDED,
             attempt_id=attempt_id,
-            client_account=run.offer.identity.client_account,
+            client_account=run.order.identity.client_account,
             outcome=type(outcome).__name__,
             total_tokens=usage.total_tokens,
             elapsed_s=round(now_s - started_s, 6),
--- a/src/endivegw/gossip/messages.py
+++ b/src/endivegw/gossip/messages.py
@@ -18,10 +18,10 @@
     Evidence,
     Fingerprint,
     RequestRecord,
-    TargetEnded,
     TargetStart,
-    read_starts,
-    write_starts,
+    TargetTerminated,
+    decode_starts,
+    encode_starts,
 )
 from endivegw.types import ClientAccountName, InstanceId, TargetName, TransferId
 
@@ -209,11 +209,13 @@
             ]
         case News(sender, TargetLeaving(start)):
             document = ["leaving", sender, [start.instance_id, start.started_ms]]
-        case News(sender, TargetEnded(start, fingerprints)):
+        case News(sender, TargetTerminated(start, fingerprints)):
             pair = [start.instance_id, start.started_ms]
             document = ["ended", sender, pair, list(fingerprints)]
         case News(sender, RequestRecord() as record):
-            starts = write_starts(record.ends), write_starts(record.void)
+            starts = encode_starts(record.terminations), encode_starts(
+                record.invalidated
+            )
             document = [
                 "record",
                 sender,
@@ -263,17 +265,17 @@
             case "offer", [transfer_id, tokens, left]:
                 return Offer(name, TransferId(str(transfer_id)), int(tokens), int(left))
             case "leaving", [start]:
-                (leaving,) = read_starts([start])
+                (leaving,) = decode_starts([start])
                 return News(name, TargetLeaving(leaving))
             case "ended", [start, fingerprints]:
-                (ended,) = read_starts([start])
+                (ended,) = decode_starts([start])
                 names = tuple(Fingerprint(str(text)) for text in fingerprints)
-                return News(name, TargetEnded(ended, names))
-            case "record", [fingerprint, ends, void, answered]:
+                return News(name, TargetTerminated(ended, names))
+            case "record", [fingerprint, terminations, invalidated, answered]:
                 record = RequestRecord(
                     Fingerprint(str(fingerprint)),
-                    read_starts(ends),
-                    read_starts(void),
+                    decode_starts(terminations),
+                    decode_starts(invalidated),
                     bool(answered),
                 )
                 return News(name, record)
--- a/src/endivegw/quarantine/__init__.py
+++ b/src/endivegw/quarantine/__init__.py
@@ -1,16 +1,16 @@
-"""Keep requests that end the targets that run them away from further targets."""
+"""Quarantine of requests that terminate the targets that run them."""
 
 from endivegw.quarantine.evidence import (
     Evidence,
     RequestRecord,
-    TargetEnded,
-    read_starts,
-    write_starts,
+    TargetTerminated,
+    decode_starts,
+    encode_starts,
 )
 from endivegw.quarantine.fingerprint import Fingerprint, fingerprint_of
-from endivegw.quarantine.keeper import QuarantineKeeper, QuarantineOptions
 from endivegw.quarantine.ledger import Ledger, QuarantinePolicy
 from endivegw.quarantine.lost_sends import LostSends, TargetStart
+from endivegw.quarantine.manager import QuarantineManager, QuarantineOptions
 from endivegw.quarantine.rows import QUARANTINE_TABLE
 
 __all__ = [
@@ -19,13 +19,13 @@
     "Ledger",
     "LostSends",
     "QUARANTINE_TABLE",
-    "QuarantineKeeper",
+    "QuarantineManager",
     "QuarantineOptions",
     "QuarantinePolicy",
     "RequestRecord",
-    "TargetEnded",
     "TargetStart",
+    "TargetTerminated",
+    "decode_starts",
+    "encode_starts",
     "fingerprint_of",
-    "read_starts",
-    "write_starts",
 ]
--- a/src/endivegw/quarantine/evidence.py
+++ b/src/endivegw/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of requests and the ends of targets. Pure messages."""
+"""Messages in which routers share evidence of requests and target terminations."""
 
 from __future__ import annotations
 
@@ -10,12 +10,18 @@
 from endivegw.quarantine.lost_sends import TargetStart
 from endivegw.types import InstanceId
 
-__all__ = ["Evidence", "RequestRecord", "TargetEnded", "read_starts", "write_starts"]
+__all__ = [
+    "Evidence",
+    "RequestRecord",
+    "TargetTerminated",
+    "decode_starts",
+    "encode_starts",
+]
 
 
 @frozen
-class TargetEnded:
-    """Say which requests were in progress at a target as it ended."""
+class TargetTerminated:
+    """The requests that were in progress at a target when it terminated."""
 
     start: TargetStart
     fingerprints: tuple[Fingerprint, ...]
@@ -23,37 +29,41 @@
 
 @frozen
 class RequestRecord:
-    """Hold all that is known of one request.
+    """All evidence about one request.
 
-    Records of one request are joined by the unions of both sets, in any order and any
-    number of times.
+    Records of one request are merged by the union of both sets, which gives the same
+    result in any order and with any repetition.
 
-    :param ends: ends of targets at which it was in progress.
-    :param void: those of them that do not count any more.
-    :param was_answered: whether some target ran it to its end.
+    :param terminations: starts of targets that terminated while running the request.
+    :param invalidated: subset of these that no longer counts.
+    :param was_answered: whether some target completed the request.
     """
 
     fingerprint: Fingerprint
-    ends: frozenset[TargetStart]
-    void: frozenset[TargetStart] = frozenset()
+    terminations: frozenset[TargetStart]
+    invalidated: frozenset[TargetStart] = frozenset()
     was_answered: bool = False
 
 
-Evidence = TargetEnded | RequestRecord
+Evidence = TargetTerminated | RequestRecord
 
 
-def write_starts(starts: frozenset[TargetStart]) -> list[list[Any]]:
-    """Return starts in JSON's terms, in an order of their own."""
+def encode_starts(starts: frozenset[TargetStart]) -> list[list[Any]]:
+    """Return starts as JSON values, in a canonical order."""
     pairs = ((start.instance_id, start.started_ms) for start in starts)
     return [list(pair) for pair in sorted(pairs, key=lambda pair: (pair[0], str(pair)))]
 
 
-def read_starts(found: Any) -> frozenset[TargetStart]:
-    """Read starts; :exc:`ValueError` or :exc:`TypeError` where they are malformed."""
+def decode_starts(values: Any) -> frozenset[TargetStart]:
+    """Parse starts from JSON values.
+
+    :raises ValueError: if they are malformed.
+    :raises TypeError: if they are malformed.
+    """
     return frozenset(
         TargetStart(
             InstanceId(str(instance_id)),
             None if started_ms is None else int(started_ms),
         )
-        for instance_id, started_ms in found
+        for instance_id, started_ms in values
     )
--- a/src/endivegw/quarantine/fingerprint.py
+++ b/src/endivegw/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Name a request by its content, so that its repeats are known by any id."""
+"""Fingerprint requests by content, so that repeats are recognized under any id."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 #: 16 characters of URL-safe base64.
 Fingerprint = NewType("Fingerprint", str)
 
-#: 96 bits: two requests of one fleet never meet by chance, and dozens of fingerprints
-#: fit one datagram.
+#: 96 bits make accidental collisions within one fleet negligible, and let dozens of
+#: fingerprints fit into one datagram.
 _DIGEST_BYTES = 12
 
 _LENGTH_BYTES = 8
@@ -27,14 +27,14 @@
     account: ClientAccountName | None,
     body: bytes,
 ) -> Fingerprint:
-    """Return the name of a request's content.
+    """Return the fingerprint of a request's content.
 
     :param target: path and query as sent.
-    :param account: None where the request needs none.
+    :param account: None if the request needs no account.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (method, host.encode(), target, (account or "").encode(), body):
-        # With lengths, no two lists of parts give the same bytes.
+        # The length prefixes make the encoding of the list of parts unambiguous.
         digest.update(len(part).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(part)
     return Fingerprint(base64.urlsafe_b64encode(digest.digest()).decode())
--- a/src/endivegw/quarantine/ledger.py
+++ b/src/endivegw/quarantine/ledger.py
@@ -1,4 +1,4 @@
-"""Count at how many ends of targets each request was in progress. Pure state."""
+"""Count the target terminations during each request. The module does no I/O."""
 
 from __future__ import annotations
 
@@ -16,196 +16,207 @@
 
 @frozen
 class QuarantinePolicy:
-    """Hold from when on a request is kept from targets, and for how long.
-
-    :param suspect_ends: ends of targets from which on one attempt of the request is
-        not sent to a second target.
-    :param ends: ends from which on it is sent to none, unless other requests explain
-        them or some target ran it to its end before.
-    :param certain_ends: ends from which on it is sent to none however many others were
-        there. One attempt of a caller and its retry reach fewer targets than this.
-    :param cool_s: how long after its last end a request is kept back that some target
-        ran to its end before.
-    :param keep_s: how long a request is remembered after it came last.
-    :param most_requests: requests that are remembered.
-    :param most_ends: ends that are remembered of one request.
+    """Thresholds and durations of the quarantine of requests.
+
+    :param suspect_terminations: number of target terminations from which one attempt of
+        the request is not sent to a second target.
+    :param quarantine_terminations: number of terminations from which the request is
+        sent to no target, unless other requests explain the terminations or some target
+        has completed the request before.
+    :param certain_terminations: number of terminations from which the request is sent
+        to no target regardless of other requests in progress. One attempt of a caller
+        and its retry reach fewer targets than this.
+    :param cooldown_s: seconds after its last termination during which a request stays
+        in quarantine although some target has completed it before.
+    :param retention_s: seconds for which a request is remembered after it last arrived.
+    :param max_requests: number of requests remembered.
+    :param max_terminations: number of terminations remembered for one request.
     """
 
-    suspect_ends: int = 2
-    ends: int = 3
-    certain_ends: int = 6
-    cool_s: float = 60.0
-    keep_s: float = 600.0
-    most_requests: int = 4096
-    most_ends: int = 16
+    suspect_terminations: int = 2
+    quarantine_terminations: int = 3
+    certain_terminations: int = 6
+    cooldown_s: float = 60.0
+    retention_s: float = 600.0
+    max_requests: int = 4096
+    max_terminations: int = 16
 
 
 @define
 class _Record:
-    seen_s: float
-    ends: set[TargetStart] = field(factory=set)
-    void: set[TargetStart] = field(factory=set)
+    last_seen_s: float
+    terminations: set[TargetStart] = field(factory=set)
+    invalidated: set[TargetStart] = field(factory=set)
     was_answered: bool = False
-    ended_s: float = 0.0
+    last_termination_s: float = 0.0
 
     @property
     def counted(self) -> set[TargetStart]:
-        """Return the ends that speak against the request."""
-        return self.ends - self.void
+        """Return the terminations that count against the request."""
+        return self.terminations - self.invalidated
 
 
 @define
 class Ledger:
-    """Tell a request that ends targets from those that were beside it.
-
-    A target takes all with it that it runs. What was beside the cause is sent again,
-    and may be beside it once more. The cause is there each time, so that no other
-    request has more ends than it has: where two have the same ones, both go on until
-    one of them ends a target alone. What a target runs to its end is hardly the cause:
-    what was held against it is void, and more is needed from then on.
+    """Distinguish requests that terminate targets from requests that ran beside them.
+
+    A terminating target loses all requests that it runs. The requests beside the cause
+    are sent again and may run beside it again. The cause is present each time, so no
+    other request has more terminations than the cause. If two requests have the same
+    terminations, both continue until one of them terminates a target alone. A request
+    that a target has completed is unlikely to be the cause: its terminations are
+    invalidated, and a higher threshold applies from then on.
     """
 
     policy: QuarantinePolicy = field(factory=QuarantinePolicy)
     _records: OrderedDict[Fingerprint, _Record] = field(factory=OrderedDict)
-    _present: dict[TargetStart, set[Fingerprint]] = field(factory=dict)
+    _in_progress: dict[TargetStart, set[Fingerprint]] = field(factory=dict)
 
     def __len__(self) -> int:
-        """Return how many requests are remembered."""
+        """Return the number of remembered requests."""
         return len(self._records)
 
     def __contains__(self, fingerprint: Fingerprint) -> bool:
         """Return whether a request is remembered."""
         return fingerprint in self._records
 
-    def join(self, record: RequestRecord, now_s: float) -> bool:
-        """Take in what is known of a request; return whether any of it is new."""
+    def merge(self, record: RequestRecord, now_s: float) -> bool:
+        """Merge a record of a request; return whether any of it is new."""
         known = self._records.get(record.fingerprint)
         if known is None:
             known = self._records[record.fingerprint] = _Record(now_s)
-        known.seen_s = now_s
+        known.last_seen_s = now_s
         self._records.move_to_end(record.fingerprint)
-        new = record.ends - known.ends
-        if len(known.ends) + len(new) > self.policy.most_ends:
-            self._drop_void(record.fingerprint, known)
-        new = frozenset(list(new)[: self.policy.most_ends - len(known.ends)])
-        newly_void = record.void - known.void
-        known.ends.update(new)
-        known.void.update(newly_void)
+        new = record.terminations - known.terminations
+        if len(known.terminations) + len(new) > self.policy.max_terminations:
+            self._drop_invalidated(record.fingerprint, known)
+        new = frozenset(
+            list(new)[: self.policy.max_terminations - len(known.terminations)]
+        )
+        newly_invalidated = record.invalidated - known.invalidated
+        known.terminations.update(new)
+        known.invalidated.update(newly_invalidated)
         newly_answered = record.was_answered and not known.was_answered
         known.was_answered |= record.was_answered
         if new:
-            known.ended_s = now_s
+            known.last_termination_s = now_s
         for start in new:
-            self._present.setdefault(start, set()).add(record.fingerprint)
-        if len(self._records) > self.policy.most_requests:
+            self._in_progress.setdefault(start, set()).add(record.fingerprint)
+        if len(self._records) > self.policy.max_requests:
             self._drop(next(iter(self._records)))
-        return bool(new or newly_void or newly_answered)
+        return bool(new or newly_invalidated or newly_answered)
 
-    def see(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Note that a known request came."""
-        self._records[fingerprint].seen_s = now_s
+    def touch(self, fingerprint: Fingerprint, now_s: float) -> None:
+        """Record the arrival of a known request."""
+        self._records[fingerprint].last_seen_s = now_s
         self._records.move_to_end(fingerprint)
 
     def age_s(self, fingerprint: Fingerprint, now_s: float) -> float:
-        """Return how long ago a known request was noted last."""
-        return now_s - self._records[fingerprint].seen_s
+        """Return the seconds since the last arrival or update of a known request."""
+        return now_s - self._records[fingerprint].last_seen_s
 
-    def void(
+    def invalidate(
         self, fingerprint: Fingerprint, now_s: float, *, answered: bool = False
     ) -> None:
-        """Let nothing that is known so far count against a request."""
-        ends = self.record(fingerprint).ends
-        self.join(RequestRecord(fingerprint, ends, ends, answered), now_s)
+        """Invalidate all terminations that are recorded for a request."""
+        terminations = self.record(fingerprint).terminations
+        self.merge(
+            RequestRecord(fingerprint, terminations, terminations, answered), now_s
+        )
 
     def expire(self, now_s: float) -> list[Fingerprint]:
-        """Forget requests that came last long ago; return them."""
-        found = []
+        """Remove requests that have not arrived within the retention; return them."""
+        expired = []
         for fingerprint, record in self._records.items():
-            if now_s - record.seen_s < self.policy.keep_s:
+            if now_s - record.last_seen_s < self.policy.retention_s:
                 break
-            found.append(fingerprint)
-        for fingerprint in found:
+            expired.append(fingerprint)
+        for fingerprint in expired:
             self._drop(fingerprint)
-        return found
+        return expired
 
     def record(self, fingerprint: Fingerprint) -> RequestRecord:
-        """Return all that is known of a request."""
+        """Return the record of a request."""
         known = self._records.get(fingerprint)
         if known is None:
             return RequestRecord(fingerprint, frozenset())
         return RequestRecord(
             fingerprint,
-            frozenset(known.ends),
-            frozenset(known.void),
+            frozenset(known.terminations),
+            frozenset(known.invalidated),
             known.was_answered,
         )
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Return whether one attempt of a request is not worth a second target."""
+        """Return whether an attempt of a request must not try a second target."""
         record = self._records.get(fingerprint)
         if record is None or record.was_answered:
             return False
-        return len(record.counted) >= self.policy.suspect_ends
+        return len(record.counted) >= self.policy.suspect_terminations
 
     def is_quarantined(self, fingerprint: Fingerprint, now_s: float) -> bool:
-        """Return whether a request is kept from all targets."""
+        """Return whether a request must be sent to no target."""
         policy = self.policy
         counted = self._counted(fingerprint)
-        if len(counted) < policy.ends:
+        if len(counted) < policy.quarantine_terminations:
             return False
         record = self._records[fingerprint]
         if not record.was_answered:
-            return self._ends_targets(fingerprint)
-        if now_s - record.ended_s >= policy.cool_s:
+            return self._is_cause(fingerprint)
+        if now_s - record.last_termination_s >= policy.cooldown_s:
             return False
-        for name in self._beside(fingerprint, counted):
-            if not self._records[name].was_answered and self._ends_targets(name):
+        for name in self._concurrent(fingerprint, counted):
+            if not self._records[name].was_answered and self._is_cause(name):
                 counted = counted - self._counted(name)
-        return len(counted) >= policy.certain_ends
+        return len(counted) >= policy.certain_terminations
 
     def quarantined(self, now_s: float) -> list[Fingerprint]:
-        """Return all requests that are kept from targets."""
+        """Return all quarantined requests."""
         return [name for name in self._records if self.is_quarantined(name, now_s)]
 
-    def _ends_targets(self, fingerprint: Fingerprint) -> bool:
-        """Return whether ends suffice against a request that no target answered."""
+    def _is_cause(self, fingerprint: Fingerprint) -> bool:
+        """Return whether a request that no target completed causes terminations."""
         counted = self._counted(fingerprint)
-        if len(counted) >= self.policy.certain_ends:
+        if len(counted) >= self.policy.certain_terminations:
             return True
-        if len(counted) < self.policy.ends:
+        if len(counted) < self.policy.quarantine_terminations:
             return False
-        left = set(counted)
-        for name in self._beside(fingerprint, counted):
+        unexplained = set(counted)
+        for name in self._concurrent(fingerprint, counted):
             if self._records[name].was_answered:
                 continue
-            others = self._counted(name)
-            if len(others) > len(counted) or others >= counted:
-                left -= others
-        return len(left) >= self.policy.ends
+            other_counted = self._counted(name)
+            if len(other_counted) > len(counted) or other_counted >= counted:
+                unexplained -= other_counted
+        return len(unexplained) >= self.policy.quarantine_terminations
 
-    def _beside(
+    def _concurrent(
         self, fingerprint: Fingerprint, starts: set[TargetStart]
     ) -> set[Fingerprint]:
-        """Return the other requests that were at any of these ends."""
-        found = {name for start in starts for name in self._present.get(start, ())}
+        """Return the other requests in progress at any of these terminations."""
+        found = {name for start in starts for name in self._in_progress.get(start, ())}
         return found - {fingerprint}
 
     def _counted(self, fingerprint: Fingerprint) -> set[TargetStart]:
         record = self._records.get(fingerprint)
         return record.counted if record is not None else set()
 
-    def _drop_void(self, fingerprint: Fingerprint, record: _Record) -> None:
-        """Make room: a popular request that targets answer has many void ends."""
-        self._leave(fingerprint, record.void)
-        record.ends -= record.void
-        record.void.clear()
+    def _drop_invalidated(self, fingerprint: Fingerprint, record: _Record) -> None:
+        """Drop invalidated terminations, of which frequent requests have many."""
+        self._remove_in_progress(fingerprint, record.invalidated)
+        record.terminations -= record.invalidated
+        record.invalidated.clear()
 
     def _drop(self, fingerprint: Fingerprint) -> None:
-        self._leave(fingerprint, self._records.pop(fingerprint).ends)
+        self._remove_in_progress(
+            fingerprint, self._records.pop(fingerprint).terminations
+        )
 
-    def _leave(self, fingerprint: Fingerprint, starts: Iterable[TargetStart]) -> None:
+    def _remove_in_progress(
+        self, fingerprint: Fingerprint, starts: Iterable[TargetStart]
+    ) -> None:
         for start in starts:
-            present = self._present.get(start, set())
-            present.discard(fingerprint)
-            if not present:
-                self._present.pop(start, None)
+            fingerprints = self._in_progress.get(start, set())
+            fingerprints.discard(fingerprint)
+            if not fingerprints:
+                self._in_progress.pop(start, None)
--- a/src/endivegw/quarantine/keeper.py
+++ b/src/endivegw/quarantine/manager.py
@@ -1,4 +1,4 @@
-"""Keep what is known of requests that end targets: here, at peers, in the store."""
+"""Maintain evidence on requests that terminate targets, at peers and in the store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import anyio
 from attrs import define, evolve, frozen
 
-from endivegw.quarantine.evidence import Evidence, RequestRecord, TargetEnded
+from endivegw.quarantine.evidence import Evidence, RequestRecord, TargetTerminated
 from endivegw.quarantine.fingerprint import Fingerprint
 from endivegw.quarantine.ledger import Ledger, QuarantinePolicy
 from endivegw.quarantine.lost_sends import TargetStart
@@ -32,34 +32,35 @@
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue import quarantine as events
 
-__all__ = ["QuarantineKeeper", "QuarantineOptions"]
+__all__ = ["QuarantineManager", "QuarantineOptions"]
 
-#: Fingerprints in one datagram, which is not cut into packets then.
-_MOST_TOLD = 48
+#: Number of fingerprints in one datagram, which then fits into a single packet.
+_MAX_FINGERPRINTS = 48
 
-#: Writes of one row that lose to other routers in a row before it waits.
-_MOST_CONFLICTS = 5
+#: Number of consecutive write conflicts on one row before the write is postponed.
+_MAX_CONFLICTS = 5
 
-#: Requests that are remembered as answered: those that come often are among the latest.
-_MOST_ANSWERED = 1024
+#: Number of requests remembered as answered. Frequent requests are among the latest.
+_MAX_ANSWERED = 1024
 
 
 @frozen
 class QuarantineOptions:
-    """Hold intervals.
-
-    :param list_every_s: how often the rows are read. Peers tell what is new; the rows
-        are for those that start, and for operators that release a request.
-    :param again_s: the same where the store did not answer.
-    :param refresh_every_s: how often the row of a request that still comes is written
-        again, and peers are told, so that nobody forgets it.
-    :param expire_spread_s: rows of forgotten requests are deleted at a moment drawn
-        from this span, so that not all routers try at once.
-    :param timeout_s: for one call to the store.
+    """Intervals and timeouts of the quarantine manager.
+
+    :param list_every_s: seconds between two reads of the rows. Peers send what is new;
+        the rows serve routers that start and operators that release a request.
+    :param retry_s: seconds until the next read if the store did not answer.
+    :param refresh_every_s: seconds between two refreshes of a request that still
+        arrives, in which its row is written and its record is sent to peers so that no
+        router forgets it.
+    :param expire_spread_s: seconds over which the deletions of expired rows are
+        randomly spread, so that routers do not all try at once.
+    :param timeout_s: timeout of one call to the store.
     """
 
     list_every_s: float = 5.0
-    again_s: float = 0.5
+    retry_s: float = 0.5
     refresh_every_s: float = 60.0
     expire_spread_s: float = 60.0
     timeout_s: float = 1.0
@@ -67,9 +68,9 @@
 
 @define
 class _Row:
-    """Hold a row as it was read or written last.
+    """A row as it was last read or written.
 
-    :ivar written_s: when its revision was seen first.
+    :ivar written_s: time at which its revision was first seen.
     """
 
     revision: int
@@ -77,16 +78,16 @@
     written_s: float
 
 
-class QuarantineKeeper:
-    """Decide which requests are kept from targets, and share what that rests on.
+class QuarantineManager:
+    """Decide which requests are quarantined, and share the evidence with peers.
 
-    :param tell: passes evidence on to the peers.
+    :param broadcast: sends evidence to the peers.
     """
 
     def __init__(
         self,
         store: RowsPort,
-        tell: Callable[[Evidence], None],
+        broadcast: Callable[[Evidence], None],
         rng: random.Random,
         clock: Callable[[], float],
         log: EventLog,
@@ -95,79 +96,85 @@
     ) -> None:
         self.ledger = Ledger(policy)
         self._store = store
-        self._tell = tell
+        self._broadcast = broadcast
         self._rng = rng
         self._clock = clock
         self._log = log
         self._policy = policy
         self._options = options
         self._rows: dict[Fingerprint, _Row] = {}
-        #: Requests whose row lacks something, in the order in which it came up.
+        #: Requests whose row is out of date, in the order of the changes.
         self._unwritten: dict[Fingerprint, None] = {}
-        #: Requests that targets ran to their end, the latest last.
+        #: Requests that targets completed, the latest last.
         self._answered: OrderedDict[Fingerprint, None] = OrderedDict()
         self._deletions: dict[Fingerprint, float] = {}
-        #: When this router last kept the others from forgetting a request.
+        #: Time at which this router last refreshed each request.
         self._refreshed: dict[Fingerprint, float] = {}
         self._quarantined: set[Fingerprint] = set()
         self._wake = anyio.Event()
-        #: Whether the rows were asked for, so that a start that finds the store away
-        #: goes on without them.
-        self.asked = False
+        #: Whether the first read of the rows has been attempted. A router that starts
+        #: while the store is unavailable continues without them.
+        self.listing_attempted = False
 
-    # What requests ask.
+    # Queries by requests.
 
     def refuse(self, fingerprint: Fingerprint) -> Refused | None:
-        """Return why a request goes to no target, None where it may."""
+        """Return the refusal of a quarantined request, or None if it may be sent."""
         if fingerprint not in self.ledger:
             return None
         now_s = self._clock()
         if not self.ledger.is_quarantined(fingerprint, now_s):
             if fingerprint in self._quarantined:
-                self._note_changes([fingerprint], "explained")
+                self._log_changes([fingerprint], "explained")
             return None
-        self.ledger.see(fingerprint, now_s)
+        self.ledger.touch(fingerprint, now_s)
         self._refresh(fingerprint, now_s)
-        ends = len(self.ledger.record(fingerprint).ends)
-        detail = f"{ends} targets ended while they ran it ({fingerprint})"
-        return Refused(Reason.QUARANTINED, detail, self._policy.keep_s)
+        count = len(self.ledger.record(fingerprint).terminations)
+        detail = (
+            f"{count} targets terminated while running this request ({fingerprint})"
+        )
+        return Refused(Reason.QUARANTINED, detail, self._policy.retention_s)
 
     def is_suspect(self, fingerprint: Fingerprint) -> bool:
-        """Return whether one attempt of a request is not worth a second target."""
+        """Return whether an attempt of a request must not try a second target."""
         return self.ledger.is_suspect(fingerprint)
 
-    # What requests report.
+    # Reports by requests.
 
-    def ended(self, start: TargetStart, fingerprints: Iterable[Fingerprint]) -> None:
-        """Take in which requests of this router were at a target as it ended."""
-        found = tuple(fingerprints)
-        if not found:
+    def record_termination(
+        self, start: TargetStart, fingerprints: Iterable[Fingerprint]
+    ) -> None:
+        """Record the requests of this router at a target that terminated."""
+        in_progress = tuple(fingerprints)
+        if not in_progress:
             return
-        for first in range(0, len(found), _MOST_TOLD):
-            evidence = TargetEnded(start, found[first : first + _MOST_TOLD])
-            self._join(evidence, "own")
-            self._tell(evidence)
-        for fingerprint in found:
+        for first in range(0, len(in_progress), _MAX_FINGERPRINTS):
+            evidence = TargetTerminated(
+                start, in_progress[first : first + _MAX_FINGERPRINTS]
+            )
+            self._merge(evidence, "own")
+            self._broadcast(evidence)
+        for fingerprint in in_progress:
             if self.ledger.is_suspect(fingerprint):
-                self._write_soon(fingerprint)
+                self._schedule_write(fingerprint)
 
     def answered(self, fingerprint: Fingerprint) -> None:
-        """Take in that a target ran a request to its end."""
+        """Record that a target completed a request."""
         self._answered[fingerprint] = None
         self._answered.move_to_end(fingerprint)
-        if len(self._answered) > _MOST_ANSWERED:
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.popitem(last=False)
         record = self.ledger.record(fingerprint)
-        if record.ends == record.void:
+        if record.terminations == record.invalidated:
             return
-        self.ledger.void(fingerprint, self._clock(), answered=True)
-        self._tell(self.ledger.record(fingerprint))
+        self.ledger.invalidate(fingerprint, self._clock(), answered=True)
+        self._broadcast(self.ledger.record(fingerprint))
         if fingerprint in self._rows:
-            self._write_soon(fingerprint)
-        self._note_changes([fingerprint], "answered")
+            self._schedule_write(fingerprint)
+        self._log_changes([fingerprint], "answered")
 
-    def hear(self, evidence: Evidence) -> None:
-        """Take in what a peer says; pass on what is new."""
+    def receive(self, evidence: Evidence) -> None:
+        """Merge a peer's evidence; forward it if it is new or refreshes a record."""
         now_s = self._clock()
         stale = (
             isinstance(evidence, RequestRecord)
@@ -175,11 +182,11 @@
             and self.ledger.age_s(evidence.fingerprint, now_s)
             >= self._options.refresh_every_s / 2
         )
-        if self._join(evidence, "peer") or stale:
-            self._tell(evidence)
+        if self._merge(evidence, "peer") or stale:
+            self._broadcast(evidence)
 
     def _refresh(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Let nobody forget a request that still comes."""
+        """Refresh a request that still arrives at all routers and in the store."""
         row = self._rows.get(fingerprint)
         last_s = self._refreshed.get(fingerprint, -math.inf)
         if row is not None:
@@ -187,48 +194,48 @@
         if now_s - last_s < self._options.refresh_every_s:
             return
         self._refreshed[fingerprint] = now_s
-        self._tell(self.ledger.record(fingerprint))
-        self._write_soon(fingerprint)
+        self._broadcast(self.ledger.record(fingerprint))
+        self._schedule_write(fingerprint)
 
-    # The store's rows.
+    # Rows of the store.
 
     async def run(self) -> None:
-        """Keep the rows and this router's memory alike, until cancelled."""
+        """Synchronize the rows with this router's ledger until cancelled."""
         while True:
             pause_s = self._options.list_every_s
-            if not await self._list():
-                pause_s = self._options.again_s
-            self.asked = True
-            self._forget()
+            if not await self._read_rows():
+                pause_s = self._options.retry_s
+            self.listing_attempted = True
+            self._expire()
             with anyio.move_on_after(pause_s):
                 while True:
-                    await self._write_all()
+                    await self._write_pending()
                     await self._wake.wait()
                     self._wake = anyio.Event()
 
-    async def _list(self) -> bool:
+    async def _read_rows(self) -> bool:
         result = await self._store.list_rows(
             QUARANTINE_TABLE, timeout_s=self._options.timeout_s
         )
         if isinstance(result, Done):
-            self._take(result.value)
+            self._apply_listing(result.value)
         return isinstance(result, Done)
 
-    def _take(self, changes: Changes) -> None:
+    def _apply_listing(self, changes: Changes) -> None:
         listed = set()
         for row in changes.rows:
             listed.add(Fingerprint(row.key))
-            self._take_row(row)
+            self._apply_row(row)
         for fingerprint, known in list(self._rows.items()):
-            # A listing may be older than a row that was written since.
+            # The row may have been written after the listing was read.
             if fingerprint in listed or known.revision > changes.moment.revision:
                 continue
             del self._rows[fingerprint]
             if fingerprint in self.ledger:
-                self.ledger.void(fingerprint, self._clock())
-                self._note_changes([fingerprint], "released")
+                self.ledger.invalidate(fingerprint, self._clock())
+                self._log_changes([fingerprint], "released")
 
-    def _take_row(self, row: StoredRow) -> None:
+    def _apply_row(self, row: StoredRow) -> None:
         fingerprint = Fingerprint(row.key)
         known = self._rows.get(fingerprint)
         if known is not None and known.revision >= row.revision:
@@ -239,13 +246,13 @@
             self._log.emit(events.ROW_UNREADABLE, key=row.key, detail=str(error))
             return
         self._rows[fingerprint] = _Row(row.revision, record, self._clock())
-        self._join(record, "store")
+        self._merge(record, "store")
 
-    def _forget(self) -> None:
-        """Forget requests that stopped coming, and delete their rows."""
+    def _expire(self) -> None:
+        """Remove expired requests and delete their rows."""
         now_s = self._clock()
         expired = self.ledger.expire(now_s)
-        self._note_changes(expired, "expired")
+        self._log_changes(expired, "expired")
         for fingerprint in expired:
             self._refreshed.pop(fingerprint, None)
             spread_s = self._rng.random() * self._options.expire_spread_s
@@ -253,21 +260,21 @@
         for fingerprint, due_s in list(self._deletions.items()):
             if now_s >= due_s or fingerprint in self.ledger:
                 del self._deletions[fingerprint]
-                self._write_soon(fingerprint)
+                self._schedule_write(fingerprint)
 
-    def _write_soon(self, fingerprint: Fingerprint) -> None:
+    def _schedule_write(self, fingerprint: Fingerprint) -> None:
         self._unwritten[fingerprint] = None
         self._wake.set()
 
-    async def _write_all(self) -> None:
-        """Write what rows lack; what fails waits for the next listing."""
+    async def _write_pending(self) -> None:
+        """Write all outdated rows; failed writes are retried after the next listing."""
         for fingerprint in list(self._unwritten):
             if await self._write(fingerprint):
                 self._unwritten.pop(fingerprint, None)
 
     async def _write(self, fingerprint: Fingerprint) -> bool:
-        """Write or delete a request's row; return whether the store has it now."""
-        for _ in range(_MOST_CONFLICTS):
+        """Write or delete a request's row; return whether the store is up to date."""
+        for _ in range(_MAX_CONFLICTS):
             record = self.ledger.record(fingerprint)
             result = await self._transact(record)
             match result:
@@ -281,7 +288,7 @@
                         self._rows.pop(fingerprint, None)
                     return True
                 case Conflict(rows):
-                    if self._resolve(fingerprint, rows):
+                    if self._resolve_conflict(fingerprint, rows):
                         return True
                 case _:
                     return False
@@ -290,7 +297,7 @@
     async def _transact(
         self, record: RequestRecord
     ) -> Done[StoreMoment] | Conflict | Refused | Unknown | None:
-        """Try a write; None where there is nothing to write."""
+        """Try to write or delete a row; None if there is nothing to do."""
         fingerprint = record.fingerprint
         row = self._rows.get(fingerprint)
         revision = row.revision if row is not None else 0
@@ -305,60 +312,62 @@
             (), (), deletes=(expected,), timeout_s=timeout_s
         )
 
-    def _resolve(self, fingerprint: Fingerprint, rows: tuple[StoredRow, ...]) -> bool:
-        """Take in the row that another router wrote; return whether it says all."""
+    def _resolve_conflict(
+        self, fingerprint: Fingerprint, rows: tuple[StoredRow, ...]
+    ) -> bool:
+        """Apply the row that another router wrote; return whether it is up to date."""
         self._rows.pop(fingerprint, None)
         for row in rows:
             if row.key == fingerprint and not row.deleted:
-                self._take_row(row)
+                self._apply_row(row)
         known = self._rows.get(fingerprint)
         if known is None:
             return fingerprint not in self.ledger
         return known.record == self.ledger.record(fingerprint)
 
-    # Inside.
+    # Merging and logging.
 
-    def _join(self, evidence: Evidence, source: str) -> bool:
-        """Take evidence in; return whether any of it is new."""
+    def _merge(self, evidence: Evidence, source: str) -> bool:
+        """Merge evidence; return whether any of it is new."""
         now_s = self._clock()
         match evidence:
-            case TargetEnded(start, fingerprints):
+            case TargetTerminated(start, fingerprints):
                 records = [
                     RequestRecord(name, frozenset({start})) for name in fingerprints
                 ]
             case RequestRecord():
                 records = [evidence]
-        new = [record for record in records if self.ledger.join(record, now_s)]
+        new = [record for record in records if self.ledger.merge(record, now_s)]
         for record in new:
-            self._vouch(record.fingerprint, now_s)
-        self._note_changes([record.fingerprint for record in new], source)
+            self._report_answered(record.fingerprint, now_s)
+        self._log_changes([record.fingerprint for record in new], source)
         return bool(new)
 
-    def _vouch(self, fingerprint: Fingerprint, now_s: float) -> None:
-        """Tell the others of a request that a target ran to its end for this router."""
+    def _report_answered(self, fingerprint: Fingerprint, now_s: float) -> None:
+        """Report a request as answered if a target completed it for this router."""
         known = self.ledger.record(fingerprint)
         if fingerprint not in self._answered or known.was_answered:
             return
-        self.ledger.join(evolve(known, was_answered=True), now_s)
-        self._tell(self.ledger.record(fingerprint))
+        self.ledger.merge(evolve(known, was_answered=True), now_s)
+        self._broadcast(self.ledger.record(fingerprint))
 
-    def _note_changes(self, fingerprints: Iterable[Fingerprint], source: str) -> None:
-        """Log what is believed of requests where that has changed."""
+    def _log_changes(self, fingerprints: Iterable[Fingerprint], source: str) -> None:
+        """Log the requests whose state has changed."""
         now_s = self._clock()
         for fingerprint in fingerprints:
             record = self.ledger.record(fingerprint)
-            counted = record.ends - record.void
+            counted = record.terminations - record.invalidated
             if self.ledger.is_quarantined(fingerprint, now_s):
                 if fingerprint in self._quarantined:
                     continue
                 self._quarantined.add(fingerprint)
-                # Whoever found it out tells all and writes its row.
+                # The router that found it has sent it to all and writes its row.
                 self._refreshed.setdefault(fingerprint, now_s)
                 event = events.REQUEST_QUARANTINED
             elif fingerprint in self._quarantined:
                 self._quarantined.discard(fingerprint)
                 event = events.QUARANTINE_ENDED
-            elif len(counted) == self._policy.suspect_ends:
+            elif len(counted) == self._policy.suspect_terminations:
                 event = events.REQUEST_SUSPECTED
             else:
                 continue
--- a/src/endivegw/relay/context.py
+++ b/src/endivegw/relay/context.py
@@ -10,7 +10,7 @@
 from endivegw.allowances import AllowanceKeeper
 from endivegw.daemons.placement_queue import PlacementQueue
 from endivegw.decisions import RetryBudget
-from endivegw.quarantine import QuarantineKeeper, TargetStart
+from endivegw.quarantine import QuarantineManager, TargetStart
 from endivegw.relay.attempt import AttemptLimits
 from endivegw.relay.target_ends import TargetEnds
 from endivegw.relay.target_pool import TargetPool
@@ -41,7 +41,7 @@
     queue: PlacementQueue
     pool: TargetPool
     ends: TargetEnds
-    quarantine: QuarantineKeeper
+    quarantine: QuarantineManager
     retries: RetryBudget
     rng: random.Random
     clock: Callable[[], float]
--- a/src/endivegw/relay/target_ends.py
+++ b/src/endivegw/relay/target_ends.py
@@ -46,7 +46,7 @@
 
         Returns once it is known whether anybody still listens at the address.
         """
-        if self._sends.lose(start, address, fingerprint, self._clock()):
+        if self._sends.record_loss(start, address, fingerprint, self._clock()):
             self._tell(start, "ended-before", [fingerprint])
             return
         asked = self._asking.get(start)
@@ -68,13 +68,13 @@
 
         :param source: what shows it.
         """
-        if self._sends.has_ended(start):
+        if self._sends.has_terminated(start):
             return
-        self._tell(start, source, self._sends.end(start, self._clock()))
+        self._tell(start, source, self._sends.record_termination(start, self._clock()))
 
     def registered(self, start: TargetStart, address: str) -> None:
         """Take in that a start of a target has an address now."""
-        for other in self._sends.others_at(address, start):
+        for other in self._sends.other_starts_at(address, start):
             self.ended(other, "address-taken")
 
     def _tell(
--- a/src/endivegw/requests/__init__.py
+++ b/src/endivegw/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Identity, claims, attempts and answers of requests, without input or output."""
+"""Sans-IO logic for the identity, claims, attempts and answers of requests."""
--- a/src/endivegw/requests/buffer.py
+++ b/src/endivegw/requests/buffer.py
@@ -1,4 +1,4 @@
-"""The bounded buffer that keeps one answer for all who read it."""
+"""A bounded buffer that serves one answer to all its readers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @frozen
 class BufferHead:
-    """Hold a plain service's status and header fields."""
+    """Status and header fields of a plain service's answer."""
 
     status: int
     fields: tuple[tuple[str, str], ...]
@@ -21,7 +21,7 @@
 
 @frozen
 class BufferEnd:
-    """Say that the answer is whole."""
+    """The answer is complete."""
 
     length_bytes: int
     usage: Usage
@@ -30,11 +30,11 @@
 
 @frozen
 class BufferFailure:
-    """Say that the answer will not become whole.
+    """The answer failed and will not be completed.
 
-    :param usage_final: False where the target may still be consuming.
-    :param target_end: names the start of the target that ended with the answer; empty
-        where none did.
+    :param usage_final: False if the target may still be consuming tokens.
+    :param target_end: identifies the start of the target that terminated during
+        the answer; empty if none did.
     """
 
     reason: Reason
@@ -46,20 +46,20 @@
 
 @frozen
 class DataLost:
-    """Say that the bytes at an offset were given up to stay within bounds."""
+    """The bytes at the offset were discarded to stay within the size limit."""
 
 
 @define
 class AnswerBuffer:
-    """Keep the bytes of an answer while readers are at it, and for replay.
+    """Buffer the bytes of an answer for concurrent readers and for replay.
 
-    The front is given up only when the answer outgrows ``limit_bytes`` and
-    every reader is past it; an answer within the limit stays whole, so that a
-    caller's retry can read it from its first byte.
+    The start of the answer is discarded only when the answer exceeds
+    ``limit_bytes`` and every reader is past that part. An answer within the limit
+    is retained in full, so that a caller's retry can read it from its first byte.
 
-    :param limit_bytes: what one answer may hold. An engine's answer of 1,024
-        tokens takes some 200 KB as JSON; large bodies of plain services run
-        through a window of this size.
+    :param limit_bytes: maximum number of buffered bytes. An engine's answer of
+        1,024 tokens takes about 200 KB as JSON; larger bodies of plain services
+        pass through a window of this size.
     """
 
     limit_bytes: int
@@ -70,62 +70,64 @@
 
     @property
     def length_bytes(self) -> int:
-        """Return how many bytes of the answer have come so far."""
+        """Return the number of bytes received so far, discarded ones included."""
         return self._first_offset + len(self._data)
 
     @property
     def held_bytes(self) -> int:
-        """Return how many bytes the buffer holds in memory."""
+        """Return the number of bytes held in memory."""
         return len(self._data)
 
     @property
     def full(self) -> bool:
-        """Return whether the producer must wait for readers."""
+        """Return whether the producer must wait for readers to advance."""
         return len(self._data) >= self.limit_bytes
 
     @property
-    def whole(self) -> bool:
-        """Return whether a new reader can get every byte."""
+    def replayable(self) -> bool:
+        """Return whether a new reader can read the answer from its first byte."""
         return self._first_offset == 0
 
     def append(self, data: bytes) -> None:
-        """Add what the target made.
+        """Add bytes that the target produced.
 
-        :raises InvariantError: after the end: a second run under the same
-            identity would mix two answers.
+        :raises InvariantError: if the answer has ended. A second run under the
+            same identity would mix two answers.
         """
         if self.outcome is not None:
-            raise InvariantError("an answer grew after its end")
+            raise InvariantError(
+                f"{len(data)} bytes appended to an answer that has ended"
+            )
         self._data += data
 
     def finish(self, usage: Usage, finish_reason: str) -> None:
-        """Mark the answer whole.
+        """Mark the answer as complete.
 
-        :raises InvariantError: where it has ended already.
+        :raises InvariantError: if the answer has already ended.
         """
         self._end(BufferEnd(self.length_bytes, usage, finish_reason))
 
     def fail(self, failure: BufferFailure | Refused) -> None:
-        """Mark the answer as one that will not become whole.
+        """Mark the answer as failed.
 
-        :param failure: refused where the target said for certain that it did
-            not begin.
-        :raises InvariantError: where it has ended already.
+        :param failure: a refusal if the target reported that it did not start the
+            work.
+        :raises InvariantError: if the answer has already ended.
         """
         self._end(failure)
 
     def read(self, offset_bytes: int, limit_bytes: int) -> bytes | DataLost:
-        """Return up to ``limit_bytes`` from an offset, b"" where none has come."""
+        """Return up to ``limit_bytes`` from an offset, or b"" if none are available."""
         start = offset_bytes - self._first_offset
         if start < 0:
             return DataLost()
         return bytes(self._data[start : start + limit_bytes])
 
     def release(self, offset_bytes: int) -> None:
-        """Give up what lies before an offset, where the buffer is full.
+        """Discard the bytes before an offset if the buffer is full.
 
-        :param offset_bytes: what the slowest reader has read; the length where
-            there is no reader.
+        :param offset_bytes: offset of the slowest reader, or the length if there
+            is no reader.
         """
         if not self.full:
             return
@@ -135,11 +137,11 @@
             self._first_offset += surplus
 
     def discard(self) -> None:
-        """Give up all bytes, to make room for other answers."""
+        """Discard all bytes, to free memory for other answers."""
         self._first_offset = self.length_bytes
         self._data.clear()
 
     def _end(self, outcome: BufferEnd | BufferFailure | Refused) -> None:
         if self.outcome is not None:
-            raise InvariantError("an answer ended twice")
+            raise InvariantError("answer has already ended")
         self.outcome = outcome
--- a/src/endivegw/requests/claims.py
+++ b/src/endivegw/requests/claims.py
@@ -1,7 +1,7 @@
-"""Claims of one key slot, as its owner keeps them.
+"""Claims of one key slot, as stored by the owner of the slot.
 
-Pure: the owner's daemon carries out the writes that are asked for here and
-says how they ended.
+The module does no I/O. The owner's daemon carries out the writes requested here
+and reports their results.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
     "CannotTell",
     "Claim",
     "ClaimAnswer",
-    "ClaimAsk",
     "ClaimLimits",
+    "ClaimProposal",
     "Commit",
     "Existing",
     "Granted",
@@ -41,9 +41,10 @@
 
 @frozen
 class Claim:
-    """Bind a request to the one attempt that may run it.
+    """A binding of a request to the one attempt that may run it.
 
-    :param incarnation: of the target's sidecar; another one refuses the order.
+    :param incarnation: incarnation of the target's sidecar; any other incarnation
+        refuses the order.
     """
 
     key: bytes
@@ -54,13 +55,13 @@
 
 
 @frozen
-class ClaimAsk:
-    """Hold what a router wants to claim.
+class ClaimProposal:
+    """A router's proposal of an attempt for a key.
 
-    :param replaces: the claimed attempt that provably never started, "" for none.
-    :param repeatable: the claim is only to let another router find the attempt;
-        losing it does no harm.
-    :param lookup_only: never claim, only tell.
+    :param replaces: the claimed attempt that provably never started, "" if none.
+    :param repeatable: whether the claim serves only to let another router find the
+        attempt, so that losing it does no harm.
+    :param lookup_only: whether to report the current claim without creating one.
     """
 
     claim: Claim
@@ -71,9 +72,9 @@
 
 @frozen
 class Granted:
-    """Say that the attempt may be handed over.
+    """The attempt may be handed over to its target.
 
-    :param durable: False where the claim is in the owner's memory only.
+    :param durable: False if the claim is only in the owner's memory.
     """
 
     durable: bool
@@ -81,19 +82,19 @@
 
 @frozen
 class Existing:
-    """Say which attempt holds the claim."""
+    """Another attempt holds the claim."""
 
     claim: Claim
 
 
 @frozen
 class CannotTell:
-    """Say that the key may have been claimed by an owner that is gone."""
+    """The key may have been claimed from an earlier owner that has terminated."""
 
 
 @frozen
 class Waiting:
-    """Say that the claim is being written; ask again after the next change."""
+    """The claim is being written; ask again after the next state change."""
 
 
 ClaimAnswer = Granted | Existing | CannotTell | Waiting | Refused
@@ -101,7 +102,7 @@
 
 @frozen
 class Commit:
-    """Hold claims to write in one row; the same row is written until it ends."""
+    """Claims to write in one row; the write is repeated until it succeeds."""
 
     sequence: int
     claims: tuple[Claim, ...]
@@ -109,38 +110,38 @@
 
 @frozen
 class ClaimLimits:
-    """Bound an owner's state and its writes.
-
-    :param spacing_s: between two commits of one slot. 32 slots then write at
-        most 128 rows a second whatever the load is, well within the several
-        hundred that the table takes from the whole fleet.
-    :param row_claims: in one row, some 30 KB.
-    :param retention_s: how long a claim is kept.
-    :param most_claims: kept at once, some 20 MB. Beyond it new claims are
-        refused: forgetting one early could run a request twice.
-    :param most_hints: claims of repeatable requests, kept beside these; the
-        oldest go first.
-    :param beat_s: between two signs of life in the table.
-    :param grace_s: without a beat before claims are granted from memory. An
-        owner's end that is learned within it leaves the slot clean; the VM list
-        lags some 10 to 30 seconds.
+    """Limits on the state and the writes of a slot owner.
+
+    :param commit_interval_s: seconds between two commits of one slot. With 0.25 s,
+        32 slots write at most 128 rows/s at any load, well below the several
+        hundred rows/s that the table accepts from the whole fleet.
+    :param max_claims_per_row: claims in one row; 200 take about 30 KB.
+    :param retention_s: seconds for which a claim is retained.
+    :param max_claims: claims held at once; 50,000 take about 20 MB. Further claims
+        are refused, because evicting one early could run a request twice.
+    :param max_hints: claims of repeatable requests held in addition; the oldest are
+        evicted first.
+    :param heartbeat_interval_s: seconds between two heartbeats in the table.
+    :param grace_s: seconds without a successful heartbeat before claims are granted
+        from memory. If the owner's termination is detected within this time, the
+        slot's claims are known to be complete. The VM list lags by 10 to 30 s.
     """
 
-    spacing_s: float = 0.25
-    row_claims: int = 200
+    commit_interval_s: float = 0.25
+    max_claims_per_row: int = 200
     retention_s: float = 3600.0
-    most_claims: int = 50_000
-    most_hints: int = 10_000
-    beat_s: float = 3.0
+    max_claims: int = 50_000
+    max_hints: int = 10_000
+    heartbeat_interval_s: float = 3.0
     grace_s: float = 45.0
 
     @property
     def ring_rows(self) -> int:
-        """Return after how many rows the first one is overwritten.
+        """Return the number of rows after which the first one is overwritten.
 
         By then every claim in it is older than the retention time.
         """
-        return int(self.retention_s / self.spacing_s) + 1
+        return int(self.retention_s / self.commit_interval_s) + 1
 
 
 @define
@@ -154,14 +155,19 @@
 class SlotOwner:
     """Grant each key of one slot to one attempt.
 
-    :param tainted_until_s: until when keys that are not found may have been
-        claimed by an earlier owner; 0 where none can have been.
-    :param next_sequence: of the first row that this owner writes.
+    :param last_heartbeat_s: time of the last successful heartbeat.
+    :param tainted_until_s: time until which the claims are possibly incomplete: a key
+        that is not found may have been claimed from an earlier owner. 0 if the
+        claims are complete.
+    :param next_sequence: sequence number of the first row that this owner writes.
+    :ivar lost: whether another owner has acquired the slot.
+    :ivar releasing: whether the slot is being handed over, so that no new claims are
+        granted.
     """
 
     slot: int
     limits: ClaimLimits
-    beat_at_s: float
+    last_heartbeat_s: float
     tainted_until_s: float = 0.0
     next_sequence: int = 0
     lost: bool = False
@@ -175,51 +181,58 @@
 
     @property
     def flushed(self) -> bool:
-        """Return whether every claim is in the table."""
+        """Return whether every claim has been written to the table."""
         return not self._pending and self._in_flight is None
 
     @property
     def claims(self) -> int:
-        """Return how many claims are kept."""
+        """Return the number of stored claims."""
         return len(self._entries)
 
     def load(self, claims: Iterable[Claim], now_s: float) -> None:
-        """Take in what earlier owners wrote, in the order of their rows."""
+        """Load the claims that earlier owners wrote, in the order of their rows."""
         for claim in claims:
             self._entries[claim.key] = _Entry(claim, now_s, True)
             self._entries.move_to_end(claim.key)
 
-    def from_memory(self, now_s: float) -> bool:
-        """Return whether claims are granted without the table's word.
+    def grants_from_memory(self, now_s: float) -> bool:
+        """Return whether claims are granted before they are written to the table.
 
-        Only after the grace time without a beat: whoever takes the slot over
-        reasons from the beats whether this can have happened.
+        This is so only after the grace time without a heartbeat. The next owner
+        infers from the heartbeats whether it can have happened.
         """
-        return self._failing and now_s - self.beat_at_s >= self.limits.grace_s
+        return self._failing and now_s - self.last_heartbeat_s >= self.limits.grace_s
 
-    def ask(self, ask: ClaimAsk, now_s: float) -> ClaimAnswer:
-        """Answer a claim, or keep it waiting until it is written."""
+    def ask(self, proposal: ClaimProposal, now_s: float) -> ClaimAnswer:
+        """Answer a proposal, with :class:`Waiting` until the claim is written."""
         if self.lost:
-            return Refused(Reason.CLAIM_UNAVAILABLE, "the slot has another owner")
-        entry = self._entries.get(ask.claim.key)
+            return Refused(
+                Reason.CLAIM_UNAVAILABLE, f"slot {self.slot} has another owner"
+            )
+        entry = self._entries.get(proposal.claim.key)
         if entry is not None:
-            return self._ask_again(entry, ask, now_s)
-        if ask.repeatable:
-            return self._hint(ask)
+            return self._answer_known(entry, proposal, now_s)
+        if proposal.repeatable:
+            return self._answer_hint(proposal)
         if now_s < self.tainted_until_s:
             return CannotTell()
-        if ask.lookup_only:
-            return Refused(Reason.NOT_FOUND, "no such claim")
+        if proposal.lookup_only:
+            return Refused(Reason.NOT_FOUND, "no claim exists for the key")
         if self.releasing:
-            return Refused(Reason.CLAIM_UNAVAILABLE, "the slot is handed over")
+            return Refused(
+                Reason.CLAIM_UNAVAILABLE, f"slot {self.slot} is being handed over"
+            )
         self._expire(now_s)
-        if len(self._entries) >= self.limits.most_claims:
-            return Refused(Reason.CLAIM_UNAVAILABLE, "too many claims are kept")
-        return self._grant(ask, now_s)
+        if len(self._entries) >= self.limits.max_claims:
+            return Refused(
+                Reason.CLAIM_UNAVAILABLE,
+                f"slot {self.slot} holds its limit of {self.limits.max_claims} claims",
+            )
+        return self._grant(proposal, now_s)
 
     def next_commit(self, now_s: float) -> Commit | None:
-        """Return what is to be written now, None where nothing is."""
-        if self.lost or now_s < self._last_commit_s + self.limits.spacing_s:
+        """Return the commit to write now, or None."""
+        if self.lost or now_s < self._last_commit_s + self.limits.commit_interval_s:
             return None
         if self._in_flight is None:
             self._in_flight = self._batch()
@@ -228,9 +241,11 @@
         return self._in_flight
 
     def committed(self, commit: Commit) -> None:
-        """Take it that the row is written."""
+        """Record that the row was written."""
         if commit is not self._in_flight:
-            raise InvariantError("a commit ended that was not under way")
+            raise InvariantError(
+                f"commit {commit.sequence} ended but was not in flight"
+            )
         self._in_flight = None
         self._failing = False
         for claim in commit.claims:
@@ -239,73 +254,82 @@
                 entry.durable = True
 
     def failed(self) -> None:
-        """Take it that the table gave no answer; the row may be written or not."""
+        """Record that the table did not answer; the row may or may not be written."""
         self._failing = True
 
-    def beat(self, now_s: float) -> None:
-        """Take it that the table took a sign of life from this owner."""
-        self.beat_at_s = now_s
+    def heartbeat(self, now_s: float) -> None:
+        """Record that the table accepted a heartbeat from this owner."""
+        self.last_heartbeat_s = now_s
         self._failing = False
 
-    def deposed(self) -> None:
-        """Take it that the table has another owner for the slot."""
+    def ownership_lost(self) -> None:
+        """Record that the table has another owner for the slot."""
         self.lost = True
 
     def commit_due_s(self, now_s: float) -> float | None:
-        """Return when the next commit may go out, None where nothing waits."""
+        """Return when the next commit may be sent, or None if nothing is pending."""
         if self.lost or self.flushed:
             return None
-        return max(now_s, self._last_commit_s + self.limits.spacing_s)
+        return max(now_s, self._last_commit_s + self.limits.commit_interval_s)
 
-    def _ask_again(self, entry: _Entry, ask: ClaimAsk, now_s: float) -> ClaimAnswer:
+    def _answer_known(
+        self, entry: _Entry, proposal: ClaimProposal, now_s: float
+    ) -> ClaimAnswer:
         held = entry.claim
-        if held.body_digest != ask.claim.body_digest:
-            return Refused(Reason.KEY_CONFLICT, "the key was used with another body")
-        if held.attempt_id == ask.claim.attempt_id:
-            return self._word_on(entry, now_s)
-        moves = ask.replaces and held.attempt_id == ask.replaces
-        if not moves or ask.lookup_only or self.releasing:
+        if held.body_digest != proposal.claim.body_digest:
+            return Refused(
+                Reason.KEY_CONFLICT, "the key was used with a different body"
+            )
+        if held.attempt_id == proposal.claim.attempt_id:
+            return self._grant_state(entry, now_s)
+        replaces_held = proposal.replaces and held.attempt_id == proposal.replaces
+        if not replaces_held or proposal.lookup_only or self.releasing:
             return Existing(held)
-        return self._grant(ask, now_s)
-
-    def _hint(self, ask: ClaimAsk) -> ClaimAnswer:
-        """Answer for a repeatable request, from memory alone."""
-        held = self._hints.get(ask.claim.key)
-        if held is not None and held.body_digest != ask.claim.body_digest:
-            return Refused(Reason.KEY_CONFLICT, "the key was used with another body")
+        return self._grant(proposal, now_s)
+
+    def _answer_hint(self, proposal: ClaimProposal) -> ClaimAnswer:
+        """Answer a proposal for a repeatable request from memory only."""
+        held = self._hints.get(proposal.claim.key)
+        if held is not None and held.body_digest != proposal.claim.body_digest:
+            return Refused(
+                Reason.KEY_CONFLICT, "the key was used with a different body"
+            )
         if held is not None and held.attempt_id not in (
-            ask.claim.attempt_id,
-            ask.replaces,
+            proposal.claim.attempt_id,
+            proposal.replaces,
         ):
             return Existing(held)
-        if ask.lookup_only and held is None:
-            return Refused(Reason.NOT_FOUND, "no such claim")
-        self._hints[ask.claim.key] = ask.claim
-        self._hints.move_to_end(ask.claim.key)
-        if len(self._hints) > self.limits.most_hints:
+        if proposal.lookup_only and held is None:
+            return Refused(Reason.NOT_FOUND, "no claim exists for the key")
+        self._hints[proposal.claim.key] = proposal.claim
+        self._hints.move_to_end(proposal.claim.key)
+        if len(self._hints) > self.limits.max_hints:
             self._hints.popitem(last=False)
         return Granted(durable=False)
 
-    def _grant(self, ask: ClaimAsk, now_s: float) -> ClaimAnswer:
-        claim = ask.claim
+    def _grant(self, proposal: ClaimProposal, now_s: float) -> ClaimAnswer:
+        claim = proposal.claim
         held = self._entries.get(claim.key)
-        if held is not None and held.claim.attempt_id != ask.replaces:
-            raise InvariantError("a key would be granted to a second attempt")
+        if held is not None and held.claim.attempt_id != proposal.replaces:
+            raise InvariantError(
+                f"key is held by attempt {held.claim.attempt_id}, cannot grant it to "
+                f"{claim.attempt_id}"
+            )
         entry = _Entry(claim, now_s, False)
         self._entries[claim.key] = entry
         self._entries.move_to_end(claim.key)
         self._pending[claim.key] = None
-        return self._word_on(entry, now_s)
+        return self._grant_state(entry, now_s)
 
-    def _word_on(self, entry: _Entry, now_s: float) -> ClaimAnswer:
+    def _grant_state(self, entry: _Entry, now_s: float) -> ClaimAnswer:
         if entry.durable:
             return Granted(durable=True)
-        if self.from_memory(now_s):
+        if self.grants_from_memory(now_s):
             return Granted(durable=False)
         return Waiting()
 
     def _batch(self) -> Commit | None:
-        keys = list(self._pending)[: self.limits.row_claims]
+        keys = list(self._pending)[: self.limits.max_claims_per_row]
         if not keys:
             return None
         for key in keys:
@@ -316,9 +340,9 @@
         return Commit(sequence, claims)
 
     def _expire(self, now_s: float) -> None:
-        oldest_s = now_s - self.limits.retention_s
+        cutoff_s = now_s - self.limits.retention_s
         while self._entries:
             entry = next(iter(self._entries.values()))
-            if entry.granted_s > oldest_s or not entry.durable:
+            if entry.granted_s > cutoff_s or not entry.durable:
                 return
             del self._entries[entry.claim.key]
--- a/src/endivegw/requests/slots.py
+++ b/src/endivegw/requests/slots.py
@@ -1,4 +1,4 @@
-"""The map of key slots: who owns which, and when one may change hands."""
+"""The map of key slots: which sidecar owns each slot, and when ownership moves."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from endivegw.types import InstanceId, RequestIdentity, TargetName
 
 __all__ = [
-    "Beat",
+    "AcquisitionRule",
     "DEFAULT_SLOTS",
     "Slot",
+    "SlotAcquisition",
+    "SlotHeartbeat",
     "SlotMap",
     "SlotWatch",
-    "Take",
-    "TakeRule",
-    "rank",
+    "ranked_vms",
     "slot_of",
 ]
 
-#: How many slots there are. Each writes at most four rows a second, so that 32
-#: stay at 128; fewer would concentrate more memory and more keys on one owner.
+#: Number of key slots. Each slot writes at most 4 rows/s, so 32 slots write at most
+#: 128 rows/s. Fewer slots would concentrate more memory and keys on one owner.
 DEFAULT_SLOTS = 32
 
 
@@ -33,26 +33,26 @@
     return int.from_bytes(claim_key(identity)[:4], "big") % slots
 
 
-#: Beats that are followed until they are confirmed; more than that can lie
+#: Number of heartbeats that are tracked until they are confirmed. More can be
 #: unconfirmed only in an outage that is longer than any grace time.
-_FOLLOWED_BEATS = 64
+_MAX_TRACKED_HEARTBEATS = 64
 
 
-#: How many machines watch a slot closely; the next in rank steps in for the
-#: first one, and a third covers a rack that ends as a whole.
+#: Number of machines that monitor a slot closely. The second in rank replaces the
+#: first, and a third covers the loss of a whole rack.
 _NEAR_RANKS = 3
 
 
 @frozen
 class Slot:
-    """Hold one row of the map.
-
-    :param vm: the owner's machine, "" where the slot was released.
-    :param address: where the owner's sidecar listens, as ``host:port``.
-    :param epoch: grows with each owner.
-    :param tainted: whether the owner found the slot in a state in which keys
-        that are not found may have been claimed.
-    :param version: of the row.
+    """One row of the slot map.
+
+    :param vm: the owner's machine, "" if the slot was released.
+    :param address: address of the owner's sidecar, as ``host:port``.
+    :param epoch: number that increases with each owner.
+    :param tainted: whether the slot's claims were possibly incomplete when the owner
+        acquired it, so that keys that are not found may have been claimed.
+    :param version: version of the row.
     """
 
     number: int
@@ -66,20 +66,20 @@
 
     @property
     def released(self) -> bool:
-        """Return whether the last owner flushed its claims and let go."""
+        """Return whether the last owner flushed its claims and released the slot."""
         return not self.vm
 
 
 @frozen
-class Beat:
-    """Hold an owner's last sign of life.
+class SlotHeartbeat:
+    """The last heartbeat of a slot owner.
 
-    :param count: grows with each one.
-    :param confirmed: the last one of which the owner knew that it was written.
-        A later one may have been written while its answer was lost, so that
+    :param count: number that increases with each heartbeat.
+    :param confirmed: the last heartbeat whose write the owner knew to have
+        succeeded. A later one may have been written although its answer was lost, so
         the owner counts its grace time from the confirmed one.
-    :param confirmed_wall_ms: when the owner learned that, on its machine's
-        clock; of use on the same machine only.
+    :param confirmed_wall_ms: time of that confirmation on the clock of the owner's
+        machine, which is comparable only on the same machine.
     """
 
     count: int
@@ -89,25 +89,25 @@
 
 @frozen
 class SlotMap:
-    """Hold the map as it was read.
+    """A snapshot of the slot map.
 
-    :param beats: the last sign of life of each slot's owner.
-    :param read_started_s: when the reading began, on the reader's clock.
+    :param heartbeats: the last heartbeat of each slot's owner.
+    :param read_started_s: time at which the read started, on the reader's clock.
     """
 
     slots: Mapping[int, Slot] = field(factory=dict)
-    beats: Mapping[int, Beat] = field(factory=dict)
+    heartbeats: Mapping[int, SlotHeartbeat] = field(factory=dict)
     read_started_s: float = float("-inf")
 
     def owner(self, slot: int) -> Slot | None:
-        """Return the slot's owner, None where it has none."""
+        """Return the row of a slot that has an owner, else None."""
         found = self.slots.get(slot)
         return None if found is None or found.released else found
 
 
 @frozen
-class Take:
-    """Say that a slot is to be taken with a conditional write."""
+class SlotAcquisition:
+    """A slot to acquire with a conditional write."""
 
     slot: int
     expected_version: int
@@ -116,11 +116,12 @@
 
 
 @frozen
-class TakeRule:
-    """Hold the limits of taking slots over.
+class AcquisitionRule:
+    """Settings for the acquisition of slots.
 
-    :param wait_s: how much later the next in rank steps in, so that one that
-        is down itself does not leave a slot without an owner.
+    :param slots: number of slots.
+    :param wait_s: seconds by which each further machine in rank waits longer, so that
+        a slot gets an owner even if the first machine in rank is down.
     """
 
     slots: int = DEFAULT_SLOTS
@@ -128,86 +129,86 @@
 
 
 @functools.lru_cache(maxsize=2 * DEFAULT_SLOTS)
-def rank(slot: int, vms: frozenset[str]) -> tuple[str, ...]:
-    """Return machines in the order in which they should own a slot.
+def ranked_vms(slot: int, vms: frozenset[str]) -> tuple[str, ...]:
+    """Return machines in the order of preference for owning a slot.
 
-    Orders are kept until the machines change: 32 orders of 650 machines take some
-    20 ms, too much for every reading.
+    Orders are cached until the machines change: 32 orders of 650 machines take about
+    20 ms to compute, too long for every read of the map.
     """
     return rendezvous_order(str(slot), vms)
 
 
 @define
 class SlotWatch:
-    """Follow the map from one sidecar, and decide what it may take.
+    """Monitor the slot map for one sidecar and decide which slots it may acquire.
 
-    :param vm: this sidecar's own machine.
-    :param target: the target that it stands beside.
+    :param vm: this sidecar's machine.
+    :param target: the target that this sidecar serves.
     """
 
     vm: str
     target: TargetName
     instance_id: InstanceId
-    rule: TakeRule
+    rule: AcquisitionRule
     limits: ClaimLimits
     current: SlotMap = field(factory=SlotMap)
-    # When each beat that is not confirmed yet was first seen, and when the
-    # reading before that one began.
-    _seen: dict[int, dict[int, float]] = field(factory=dict)
-    _highest: dict[int, int] = field(factory=dict)
-    _beat_seen_s: dict[int, float] = field(factory=dict)
+    # For each slot and each heartbeat that is not confirmed yet, the start time of the
+    # last read that did not show the heartbeat.
+    _read_before_s: dict[int, dict[int, float]] = field(factory=dict)
+    _highest_count: dict[int, int] = field(factory=dict)
+    _heartbeat_seen_s: dict[int, float] = field(factory=dict)
     _before_confirmed_s: dict[int, float] = field(factory=dict)
     _ownerless_since_s: dict[int, float] = field(factory=dict)
 
     def read(self, new: SlotMap) -> None:
-        """Take in a reading of the map."""
-        for number, beat in new.beats.items():
-            if self.current.beats.get(number) != beat:
-                self._beat_seen_s[number] = new.read_started_s
-            self._follow(number, beat)
+        """Process a new snapshot of the map."""
+        for number, heartbeat in new.heartbeats.items():
+            if self.current.heartbeats.get(number) != heartbeat:
+                self._heartbeat_seen_s[number] = new.read_started_s
+            self._track_heartbeat(number, heartbeat)
         self.current = new
 
     def is_near(self, live_vms: frozenset[str]) -> bool:
-        """Return whether this sidecar is among the first to take some slot."""
+        """Return whether this sidecar ranks among the first for some slot."""
         return any(
-            self.vm in rank(number, live_vms)[:_NEAR_RANKS]
+            self.vm in ranked_vms(number, live_vms)[:_NEAR_RANKS]
             for number in range(self.rule.slots)
         )
 
-    def needs_list(self, live_vms: frozenset[str], now_s: float) -> bool:
-        """Return whether an owner near in rank may have ended.
+    def needs_vm_list(self, live_vms: frozenset[str], now_s: float) -> bool:
+        """Return whether the VM list is needed to check for a terminated owner.
 
-        While beats go on there is nothing to learn from the VM list, and a
-        list of a thousand machines is too much to be read every few seconds.
+        While heartbeats continue, the VM list adds no information, and a list of a
+        thousand machines is too expensive to read every few seconds.
         """
         for number in range(self.rule.slots):
             slot = self.current.slots.get(number)
             if slot is not None and self._is_predecessor(slot):
                 return True
-            if self.vm not in rank(number, live_vms)[:_NEAR_RANKS]:
+            if self.vm not in ranked_vms(number, live_vms)[:_NEAR_RANKS]:
                 continue
-            stalled_s = now_s - self._beat_seen_s.get(number, float("-inf"))
+            stalled_s = now_s - self._heartbeat_seen_s.get(number, float("-inf"))
             if slot is None or slot.released:
                 return True
-            if slot.vm != self.vm and stalled_s > 2 * self.limits.beat_s:
+            if slot.vm != self.vm and stalled_s > 2 * self.limits.heartbeat_interval_s:
                 return True
         return False
 
-    def takes(
+    def acquisitions(
         self,
         listed_vms: frozenset[str],
         live_vms: frozenset[str],
         now_s: float,
         wall_s: float,
-    ) -> tuple[Take, ...]:
-        """Return the slots that this sidecar should try to take.
+    ) -> tuple[SlotAcquisition, ...]:
+        """Return the slots that this sidecar should try to acquire.
 
-        :param listed_vms: every target machine that the VM list names, leaving
-            ones too: a listed machine may still run its sidecar.
-        :param live_vms: those that may take slots.
+        :param listed_vms: every target machine in the VM list, including those that
+            are leaving, because a listed machine may still run its sidecar.
+        :param live_vms: machines that may acquire slots.
         :param wall_s: seconds since the epoch on this machine's clock.
         """
-        takes: list[Take] = []
+        acquisitions: list[SlotAcquisition] = []
         for number in range(self.rule.slots):
             slot = self.current.slots.get(number)
             if slot is not None and not self._ownerless(slot, listed_vms):
@@ -215,16 +216,16 @@
                 continue
             since_s = self._ownerless_since_s.setdefault(number, now_s)
             if self._is_my_turn(number, slot, live_vms, now_s - since_s):
-                takes.append(self._take(number, slot, now_s, wall_s))
-        return tuple(takes)
+                acquisitions.append(self._acquisition(number, slot, now_s, wall_s))
+        return tuple(acquisitions)
 
     def _ownerless(self, slot: Slot, listed_vms: frozenset[str]) -> bool:
-        """Return whether the owner has provably ended or let go.
+        """Return whether the owner has provably terminated or released the slot.
 
-        An owner that is silent may be paused or cut off, grant claims from
-        memory, and wake up: two owners would let a request run twice. So only
-        two things count: its machine is off the list, or this process stands
-        in its place beside the same target.
+        An unresponsive owner may be paused or partitioned, grant claims from memory,
+        and resume; two owners would let a request run twice. The only accepted proofs
+        of termination are that its machine is no longer listed, or that this process
+        replaced it at the same target.
         """
         if slot.released:
             return True
@@ -245,49 +246,49 @@
     ) -> bool:
         if slot is not None and slot.vm == self.vm:
             return True
-        order = rank(number, live_vms)
+        order = ranked_vms(number, live_vms)
         if self.vm not in order:
             return False
         return waited_s >= order.index(self.vm) * self.rule.wait_s
 
-    def _take(
+    def _acquisition(
         self, number: int, slot: Slot | None, now_s: float, wall_s: float
-    ) -> Take:
+    ) -> SlotAcquisition:
         if slot is None:
-            return Take(number, 0, 1, False)
-        tainted = slot.tainted or not self._clean(slot, now_s, wall_s)
-        return Take(number, slot.version, slot.epoch + 1, tainted)
+            return SlotAcquisition(number, 0, 1, False)
+        tainted = slot.tainted or not self._claims_complete(slot, now_s, wall_s)
+        return SlotAcquisition(number, slot.version, slot.epoch + 1, tainted)
 
-    def _clean(self, slot: Slot, now_s: float, wall_s: float) -> bool:
-        """Return whether the ended owner cannot have granted from memory.
+    def _claims_complete(self, slot: Slot, now_s: float, wall_s: float) -> bool:
+        """Return whether the terminated owner cannot have granted from memory.
 
-        It does so only after the grace time from its last confirmed beat. That
-        one was written after the last reading that did not show it, and the
-        owner had ended by now. A restarted process has no such reading; it
-        goes by its machine's clock, which its predecessor went by, too.
+        It grants from memory only after the grace time since its last confirmed
+        heartbeat. That heartbeat was written after the last read that did not show
+        it, and the owner has terminated by now. A restarted process has no such read;
+        it uses its machine's clock, which its predecessor used too.
         """
         if slot.released:
             return True
-        before_s = self._before_confirmed_s.get(slot.number, float("-inf"))
-        if now_s - before_s < self.limits.grace_s:
+        read_before_s = self._before_confirmed_s.get(slot.number, float("-inf"))
+        if now_s - read_before_s < self.limits.grace_s:
             return True
-        beat = self.current.beats.get(slot.number)
-        if beat is None or slot.vm != self.vm:
+        heartbeat = self.current.heartbeats.get(slot.number)
+        if heartbeat is None or slot.vm != self.vm:
             return False
-        # A clock that was set back would show a time to come.
-        age_s = wall_s - beat.confirmed_wall_ms / 1000
+        # After the clock was set back, the confirmation lies in the future.
+        age_s = wall_s - heartbeat.confirmed_wall_ms / 1000
         return 0.0 <= age_s < self.limits.grace_s
 
-    def _follow(self, number: int, beat: Beat) -> None:
-        seen = self._seen.setdefault(number, {})
-        # A late write can put an older count in the place of a newer one.
-        highest = self._highest.get(number, beat.count)
-        self._highest[number] = max(highest, beat.count)
-        # Every beat since the last reading was written after it began.
-        first = max(highest + 1, beat.count - _FOLLOWED_BEATS)
-        for count in range(first, beat.count + 1):
-            seen[count] = self.current.read_started_s
-        if beat.confirmed in seen:
-            self._before_confirmed_s[number] = seen[beat.confirmed]
-        for count in [count for count in seen if count < beat.confirmed]:
-            del seen[count]
+    def _track_heartbeat(self, number: int, heartbeat: SlotHeartbeat) -> None:
+        read_before_s = self._read_before_s.setdefault(number, {})
+        # A delayed write can replace a newer count with an older one.
+        highest = self._highest_count.get(number, heartbeat.count)
+        self._highest_count[number] = max(highest, heartbeat.count)
+        # Every heartbeat since the last read was written after that read started.
+        first = max(highest + 1, heartbeat.count - _MAX_TRACKED_HEARTBEATS)
+        for count in range(first, heartbeat.count + 1):
+            read_before_s[count] = self.current.read_started_s
+        if heartbeat.confirmed in read_before_s:
+            self._before_confirmed_s[number] = read_before_s[heartbeat.confirmed]
+        for count in [count for count in read_before_s if count < heartbeat.confirmed]:
+            del read_before_s[count]
--- a/src/endivegw/requests/starts.py
+++ b/src/endivegw/requests/starts.py
@@ -1,4 +1,4 @@
-"""What a sidecar has started, so that nothing starts twice."""
+"""Record the attempts that a sidecar has started, so that none starts twice."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from endivegw.types import AttemptId, InstanceId, RequestIdentity
 
 __all__ = [
-    "AnswerGone",
+    "AnswerDiscarded",
     "CannotTell",
-    "Follow",
+    "JoinAttempt",
     "MayStart",
     "NeverStarted",
-    "Offer",
     "StartLimits",
+    "StartOrder",
     "StartRegistry",
     "Started",
 ]
 
 
 @frozen
-class Offer:
-    """Hold what a router asks a sidecar to start, join or replay.
+class StartOrder:
+    """A router's order to start, join or replay an attempt.
 
-    :param incarnation: the sidecar's incarnation that the attempt is bound to.
-    :param join_only: never start; only join or replay.
+    :param incarnation: the sidecar incarnation to which the attempt is bound.
+    :param join_only: whether the order may only join or replay, never start.
     """
 
     identity: RequestIdentity
@@ -41,31 +41,31 @@
 
 @frozen
 class MayStart:
-    """Say that nothing known speaks against a start."""
+    """The order may be started."""
 
 
 @frozen
-class Follow:
-    """Say which attempt's answer is this request's answer."""
+class JoinAttempt:
+    """The request already has an attempt, whose answer is to be used."""
 
     attempt_id: AttemptId
 
 
 @frozen
-class AnswerGone:
-    """Say that the request was started and its answer is no longer held."""
+class AnswerDiscarded:
+    """The request was started and its answer is no longer available."""
 
 
 @frozen
 class NeverStarted:
-    """Say that an attempt has not started and never will: its id is barred."""
+    """The attempt has not started and never will, because its id is barred."""
 
 
 @frozen
 class Started:
-    """Say that an attempt has started.
+    """The attempt has started.
 
-    :param running: False where it has ended.
+    :param running: False if it has ended.
     """
 
     running: bool
@@ -73,18 +73,18 @@
 
 @frozen
 class CannotTell:
-    """Say that the attempt belongs to a time that the sidecar does not remember."""
+    """The attempt is bound to a period of which the sidecar has no record."""
 
 
 @frozen
 class StartLimits:
-    """Bound what a registry remembers.
+    """Limits on the memory of a registry.
 
-    :param window_s: after how long a new window opens.
-    :param window_entries: after how many starts and bars one opens at the
-        latest. 650 sidecars at 3,900 requests a second see 6 starts a second
-        each, and a popular plain service some 100: 20,000 entries last it 200
-        seconds, and two windows take about 8 MB.
+    :param window_s: seconds after which a new window opens.
+    :param window_entries: number of starts and bars after which a new window opens
+        even earlier. 650 sidecars at 3,900 requests/s see 6 starts/s each, and a
+        popular plain service about 100/s. For the latter 20,000 entries last 200 s.
+        Two windows take about 8 MB.
     """
 
     window_s: float = 3600.0
@@ -93,7 +93,7 @@
 
 class _State(enum.Enum):
     RUNNING = enum.auto()
-    WHOLE = enum.auto()
+    COMPLETE = enum.auto()
     FAILED = enum.auto()
 
 
@@ -111,8 +111,9 @@
     opened_s: float
     started: set[AttemptId] = field(factory=set)
     barred: set[AttemptId] = field(factory=set)
-    # Identities that must not run again, with the digest of their body.
-    spent: dict[RequestIdentity, bytes] = field(factory=dict)
+    # Identities of non-repeatable requests that must not run again, with the digest of
+    # their body.
+    used_identities: dict[RequestIdentity, bytes] = field(factory=dict)
 
     @property
     def entries(self) -> int:
@@ -122,16 +123,15 @@
 class StartRegistry:
     """Decide for each order whether it starts, joins, replays or is refused.
 
-    An order can be doubled, late by an hour, or sent by a router that was
-    paused; its caller would see a second badge printed. So the registry must
-    remember each start, in bounded memory. It remembers two *windows*. Each
-    order names the incarnation it is bound to, which is the process and the
-    window in which the router chose this sidecar. An order bound to another
-    process or to a window that is forgotten is refused: it may have run, then,
-    and this registry could not tell.
+    An order can be duplicated, an hour late, or sent by a router that was paused, and
+    without a record of starts a non-repeatable operation would then run twice. To
+    bound memory, the registry records starts in two *windows*. Each order names the
+    incarnation to which it is bound: the process and the window in which the router
+    chose this sidecar. An order bound to another process or to a discarded window is
+    refused, because it may have run without a record in this registry.
 
-    :param instance_id: the process; a restarted one remembers nothing and so
-        refuses what was bound to its predecessor.
+    :param instance_id: identifies the process. A restarted process has no records and
+        therefore refuses orders bound to its predecessor.
     """
 
     def __init__(
@@ -146,65 +146,65 @@
 
     @property
     def incarnation(self) -> str:
-        """Return what routers must bind new attempts to."""
+        """Return the incarnation to which routers must bind new attempts."""
         return f"{self._instance_id}.{self._current.number}"
 
-    def offer(
-        self, offer: Offer, now_s: float
-    ) -> MayStart | Follow | AnswerGone | Refused:
-        """Decide on an order; nothing is recorded yet."""
+    def decide(
+        self, order: StartOrder, now_s: float
+    ) -> MayStart | JoinAttempt | AnswerDiscarded | Refused:
+        """Decide on an order without recording anything."""
         self._rotate(now_s)
-        known = self._known(offer)
+        known = self._decide_known(order)
         if known is not None:
             return known
-        if offer.join_only:
-            return Refused(Reason.NOT_FOUND, "no such request is known here")
-        if self._is_barred(offer.attempt_id):
+        if order.join_only:
+            return Refused(Reason.NOT_FOUND, "the request is not known here")
+        if self._is_barred(order.attempt_id):
             return Refused(Reason.CANCELLED, "cancelled before its start")
-        if self._has_started(offer.attempt_id):
-            return AnswerGone()
-        if not self._remembers(offer.incarnation):
+        if self._has_started(order.attempt_id):
+            return AnswerDiscarded()
+        if not self._has_window(order.incarnation):
             return Refused(
                 Reason.WRONG_INSTANCE,
-                f"bound to {offer.incarnation!r}, this is {self.incarnation!r}",
+                f"bound to {order.incarnation!r}, this is {self.incarnation!r}",
             )
         return MayStart()
 
-    def start(self, offer: Offer, now_s: float) -> None:
-        """Record a start, right before the work is handed to the target.
+    def start(self, order: StartOrder, now_s: float) -> None:
+        """Record a start, directly before the work is handed to the target.
 
-        :raises InvariantError: where it would be a second start.
+        :raises InvariantError: if it would be a second start.
         """
-        if not isinstance(self.offer(offer, now_s), MayStart):
-            raise InvariantError(f"attempt {offer.attempt_id} must not start")
+        if not isinstance(self.decide(order, now_s), MayStart):
+            raise InvariantError(f"attempt {order.attempt_id} must not be started")
         window = self._current
-        window.started.add(offer.attempt_id)
-        if not offer.repeatable:
-            window.spent[offer.identity] = offer.body_digest
-        self._replace(offer)
+        window.started.add(order.attempt_id)
+        if not order.repeatable:
+            window.used_identities[order.identity] = order.body_digest
+        self._replace_record(order)
 
-    def ended(self, attempt_id: AttemptId, *, whole: bool) -> None:
-        """Record that an attempt ended and its answer is held for replay."""
+    def ended(self, attempt_id: AttemptId, *, complete: bool) -> None:
+        """Record that an attempt ended and its answer is retained for replay."""
         record = self._record(attempt_id)
         if record is not None:
-            record.state = _State.WHOLE if whole else _State.FAILED
+            record.state = _State.COMPLETE if complete else _State.FAILED
 
-    def never_began(self, attempt_id: AttemptId) -> None:
-        """Take back a start that the target refused for certain.
+    def record_never_started(self, attempt_id: AttemptId) -> None:
+        """Undo the record of a start that the target definitely refused.
 
-        The attempt's id is barred, so that a doubled order does not start what
-        the router has meanwhile placed elsewhere.
+        The attempt id is barred, so that a duplicated order does not start a request
+        that the router has placed elsewhere in the meantime.
         """
         identity = self._identities.pop(attempt_id, None)
         if identity is not None:
             del self._records[identity]
             for window in self._windows():
-                window.spent.pop(identity, None)
+                window.used_identities.pop(identity, None)
                 window.started.discard(attempt_id)
         self._current.barred.add(attempt_id)
 
     def forget_answer(self, attempt_id: AttemptId) -> None:
-        """Record that the answer of an ended attempt is no longer held."""
+        """Record that the answer of an ended attempt was discarded."""
         identity = self._identities.pop(attempt_id, None)
         if identity is not None:
             del self._records[identity]
@@ -212,7 +212,7 @@
     def cancel(
         self, attempt_id: AttemptId, incarnation: str, now_s: float
     ) -> NeverStarted | Started | CannotTell:
-        """Bar an attempt that has not started; tell what is known of it."""
+        """Bar an attempt that has not started, and return its known state."""
         self._rotate(now_s)
         record = self._record(attempt_id)
         if record is not None:
@@ -220,33 +220,35 @@
         if self._has_started(attempt_id):
             return Started(False)
         self._current.barred.add(attempt_id)
-        if not self._remembers(incarnation):
+        if not self._has_window(incarnation):
             return CannotTell()
         return NeverStarted()
 
-    def _known(self, offer: Offer) -> Follow | AnswerGone | Refused | None:
-        record = self._records.get(offer.identity)
+    def _decide_known(
+        self, order: StartOrder
+    ) -> JoinAttempt | AnswerDiscarded | Refused | None:
+        record = self._records.get(order.identity)
         if record is not None:
-            if record.body_digest != offer.body_digest:
+            if record.body_digest != order.body_digest:
                 return _conflict()
-            again = record.repeatable and offer.repeatable
-            if record.state is _State.FAILED and again:
+            both_repeatable = record.repeatable and order.repeatable
+            if record.state is _State.FAILED and both_repeatable:
                 return None
-            return Follow(record.attempt_id)
+            return JoinAttempt(record.attempt_id)
         for window in self._windows():
-            digest = window.spent.get(offer.identity)
+            digest = window.used_identities.get(order.identity)
             if digest is not None:
-                return AnswerGone() if digest == offer.body_digest else _conflict()
+                return AnswerDiscarded() if digest == order.body_digest else _conflict()
         return None
 
-    def _replace(self, offer: Offer) -> None:
-        old = self._records.get(offer.identity)
-        if old is not None:
-            self._identities.pop(old.attempt_id, None)
-        self._records[offer.identity] = _Record(
-            offer.attempt_id, offer.body_digest, offer.repeatable
+    def _replace_record(self, order: StartOrder) -> None:
+        previous = self._records.get(order.identity)
+        if previous is not None:
+            self._identities.pop(previous.attempt_id, None)
+        self._records[order.identity] = _Record(
+            order.attempt_id, order.body_digest, order.repeatable
         )
-        self._identities[offer.attempt_id] = offer.identity
+        self._identities[order.attempt_id] = order.identity
 
     def _record(self, attempt_id: AttemptId) -> _Record | None:
         identity = self._identities.get(attempt_id)
@@ -263,19 +265,19 @@
     def _has_started(self, attempt_id: AttemptId) -> bool:
         return any(attempt_id in window.started for window in self._windows())
 
-    def _remembers(self, incarnation: str) -> bool:
+    def _has_window(self, incarnation: str) -> bool:
         numbers = (window.number for window in self._windows())
         return incarnation in {f"{self._instance_id}.{n}" for n in numbers}
 
     def _rotate(self, now_s: float) -> None:
         window = self._current
-        old = now_s - window.opened_s >= self._limits.window_s
-        if old or window.entries >= self._limits.window_entries:
+        expired = now_s - window.opened_s >= self._limits.window_s
+        if expired or window.entries >= self._limits.window_entries:
             self._previous = window
             self._current = _Window(window.number + 1, now_s)
 
 
 def _conflict() -> Refused:
     return Refused(
-        Reason.KEY_CONFLICT, "the key was used for a request with another body"
+        Reason.KEY_CONFLICT, "the key was used for a request with a different body"
     )
--- a/src/endivegw_standins/quarantine_world.py
+++ b/src/endivegw_standins/quarantine_world.py
@@ -1,7 +1,7 @@
-"""Routers that share what ended their targets, in virtual time.
+"""Simulate routers that share evidence of target terminations, in virtual time.
 
-The routers' part is the product's: evidence, rumours, rows. Targets and the sends of
-requests are played.
+Evidence, gossip and rows of the routers are production code. The targets and the sends
+of requests are simulated.
 """
 
 from __future__ import annotations
@@ -19,65 +19,65 @@
 from endivegw.quarantine import (
     Evidence,
     Fingerprint,
-    QuarantineKeeper,
+    QuarantineManager,
     RequestRecord,
-    TargetEnded,
     TargetStart,
+    TargetTerminated,
 )
 from endivegw.telemetry import EventLog
 from endivegw.types import InstanceId
 from endivegw_standins.linked_world import PlayedNetwork
 from endivegw_standins.row_store import MemoryRows, RowStoreClient
 
-__all__ = ["PlayedTarget", "QuarantineRouter", "QuarantineWorld"]
+__all__ = ["QuarantineRouter", "QuarantineWorld", "SimulatedTarget"]
 
-#: How long a target runs a request that ends it.
-_END_AFTER_S = 0.08
+#: Seconds for which a target runs a request that terminates it.
+_TERMINATION_DELAY_S = 0.08
 
-#: Until a router that lost a send knows whether its target ended.
-_ASK_S = 0.003
+#: Seconds until a router that lost a send knows whether the target terminated.
+_DETECTION_S = 0.003
 
-#: How many targets one attempt of a caller may be sent to.
-_MOST_TARGETS = 2
+#: Maximum number of targets that one attempt of a caller is sent to.
+_MAX_TARGETS = 2
 
 
-class PlayedTarget:
-    """Run requests; a deadly one takes all others with it."""
+class SimulatedTarget:
+    """A target that runs requests; a deadly request fails all others with it."""
 
-    def __init__(self, name: str, back_s: float) -> None:
+    def __init__(self, name: str, restart_s: float) -> None:
         self._name = name
-        self._back_s = back_s
+        self._restart_s = restart_s
         self._starts = 1
         self.up = True
-        self._ended = anyio.Event()
+        self._terminated = anyio.Event()
 
     @property
     def start(self) -> TargetStart:
-        """Return the start that runs now."""
+        """Return the current start."""
         return TargetStart(InstanceId(f"{self._name}.{self._starts}"), None)
 
     async def run(self, took_s: float) -> bool:
-        """Run a request; return whether it came to its end."""
-        ended = self._ended
+        """Run a request; return whether it completed."""
+        terminated = self._terminated
         with anyio.move_on_after(took_s):
-            await ended.wait()
-        return not ended.is_set()
+            await terminated.wait()
+        return not terminated.is_set()
 
-    def end(self) -> None:
-        """End with all that runs here."""
+    def terminate(self) -> None:
+        """Terminate together with all running requests."""
         self.up = False
-        self._ended.set()
+        self._terminated.set()
 
-    async def come_back(self) -> None:
-        """Start again after a while."""
-        await anyio.sleep(self._back_s)
+    async def restart(self) -> None:
+        """Start again after the restart time."""
+        await anyio.sleep(self._restart_s)
         self._starts += 1
-        self._ended = anyio.Event()
+        self._terminated = anyio.Event()
         self.up = True
 
 
 class QuarantineRouter:
-    """Hold one router's memory of requests, and its part in the rumours."""
+    """One router's quarantine manager and gossip."""
 
     def __init__(self, world: QuarantineWorld, number: int, start: int) -> None:
         self.world = world
@@ -86,9 +86,9 @@
             self.host, InstanceId(f"{self.host}.{start}"), self.host, 1
         )
         self.rumours = Rumours(self._send, self._peers, world.rng)
-        self.keeper = QuarantineKeeper(
+        self.manager = QuarantineManager(
             RowStoreClient(self.host, world.store),
-            self._tell,
+            self._broadcast,
             world.rng,
             anyio.current_time,
             EventLog("router", vm=self.host),
@@ -96,19 +96,19 @@
         self.scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Hear, tell and keep rows until killed."""
+        """Run gossip and the quarantine manager until killed."""
         socket = self.world.network.open(self.host)
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.rumours.run)
-                tasks.start_soon(self.keeper.run)
+                tasks.start_soon(self.manager.run)
                 async for data, _ in socket:
                     message = decode(data)
                     match message:
-                        case News(_, TargetEnded() | RequestRecord() as evidence):
-                            self.keeper.hear(evidence)
+                        case News(_, TargetTerminated() | RequestRecord() as evidence):
+                            self.manager.receive(evidence)
 
-    def _tell(self, evidence: Evidence) -> None:
+    def _broadcast(self, evidence: Evidence) -> None:
         self.rumours.tell(encode(News(self.entry.instance_id, evidence)))
 
     def _peers(self) -> list[PeerEntry]:
@@ -121,11 +121,12 @@
 
 @define
 class QuarantineWorld:
-    """Hold a fleet, its targets, and what callers got.
+    """A simulated fleet, its targets, and the results of the callers.
 
-    :ivar arrivals: when each request reached a target.
-    :ivar ends: when each request ended a target.
-    :ivar refused: requests that were refused, by fingerprint.
+    :ivar arrivals: times at which each request reached a target.
+    :ivar terminations: times at which each request terminated a target.
+    :ivar refused: number of refusals by fingerprint.
+    :ivar answered: number of answers by fingerprint.
     """
 
     rng: random.Random
@@ -133,9 +134,9 @@
     store: MemoryRows
     network: PlayedNetwork
     routers: dict[int, QuarantineRouter] = field(factory=dict)
-    targets: list[PlayedTarget] = field(factory=list)
+    targets: list[SimulatedTarget] = field(factory=list)
     arrivals: dict[Fingerprint, list[float]] = field(factory=dict)
-    ends: dict[Fingerprint, list[float]] = field(factory=dict)
+    terminations: dict[Fingerprint, list[float]] = field(factory=dict)
     refused: Counter[Fingerprint] = field(factory=Counter)
     answered: Counter[Fingerprint] = field(factory=Counter)
     _starts: int = 0
@@ -147,7 +148,7 @@
         tasks: TaskGroup,
         routers: int,
         targets: int,
-        back_s: float = 3.4,
+        restart_s: float = 3.4,
     ) -> QuarantineWorld:
         """Return a fleet that runs in a task group."""
         rng = random.Random(seed)
@@ -156,57 +157,59 @@
         for number in range(routers):
             world.start(number)
         names = [f"target-{number}" for number in range(targets)]
-        world.targets = [PlayedTarget(name, back_s) for name in names]
+        world.targets = [SimulatedTarget(name, restart_s) for name in names]
         return world
 
     def start(self, number: int) -> None:
-        """Start a router, in the place of one that was there."""
+        """Start a router, replacing the one with the same number."""
         if number in self.routers:
             self.routers[number].scope.cancel()
         self._starts += 1
         router = self.routers[number] = QuarantineRouter(self, number, self._starts)
         self.tasks.start_soon(router.run)
 
-    async def ask(self, fingerprint: Fingerprint, took_s: float, tries: int = 2) -> str:
-        """Ask as a caller does: another router where the first one failed."""
+    async def send(
+        self, fingerprint: Fingerprint, took_s: float, tries: int = 2
+    ) -> str:
+        """Send a request as a caller, trying another router after a failure."""
         outcome = ""
         for _ in range(tries):
             router = self.routers[self.rng.choice(list(self.routers))]
-            outcome = await self._carry(router, fingerprint, took_s, False)
+            outcome = await self._route(router, fingerprint, took_s, False)
             if outcome == "answered":
                 break
         return outcome
 
-    async def ask_deadly(self, fingerprint: Fingerprint, router: int) -> str:
-        """Ask one router for what ends targets."""
-        return await self._carry(
-            self.routers[router], fingerprint, _END_AFTER_S, deadly=True
+    async def send_deadly(self, fingerprint: Fingerprint, router: int) -> str:
+        """Send a request that terminates targets to one router."""
+        return await self._route(
+            self.routers[router], fingerprint, _TERMINATION_DELAY_S, deadly=True
         )
 
-    def end_target(self, target: PlayedTarget) -> None:
-        """End a target that is up, and let it come back."""
+    def terminate_target(self, target: SimulatedTarget) -> None:
+        """Terminate a target that is up, and restart it later."""
         if target.up:
-            target.end()
-            self.tasks.start_soon(target.come_back)
+            target.terminate()
+            self.tasks.start_soon(target.restart)
 
     def late_arrivals(self, fingerprint: Fingerprint, slack_s: float) -> int:
-        """Return the arrivals later than a slack after the third end."""
-        ends = self.ends.get(fingerprint, [])
-        if len(ends) < 3:
+        """Return the number of arrivals after the third termination plus a slack."""
+        terminations = self.terminations.get(fingerprint, [])
+        if len(terminations) < 3:
             return 0
         arrivals = self.arrivals[fingerprint]
-        return sum(at_s > ends[2] + slack_s for at_s in arrivals)
+        return sum(at_s > terminations[2] + slack_s for at_s in arrivals)
 
-    async def _carry(
+    async def _route(
         self,
         router: QuarantineRouter,
         fingerprint: Fingerprint,
         took_s: float,
         deadly: bool,
     ) -> str:
-        keeper = router.keeper
-        for _ in range(_MOST_TARGETS):
-            if keeper.refuse(fingerprint) is not None:
+        manager = router.manager
+        for _ in range(_MAX_TARGETS):
+            if manager.refuse(fingerprint) is not None:
                 self.refused[fingerprint] += 1
                 return "refused"
             up = [target for target in self.targets if target.up]
@@ -216,14 +219,16 @@
             start = target.start
             self.arrivals.setdefault(fingerprint, []).append(anyio.current_time())
             if await target.run(took_s) and not deadly:
-                keeper.answered(fingerprint)
+                manager.answered(fingerprint)
                 self.answered[fingerprint] += 1
                 return "answered"
             if deadly and target.up and target.start == start:
-                self.ends.setdefault(fingerprint, []).append(anyio.current_time())
-                self.end_target(target)
-            await anyio.sleep(_ASK_S)
-            keeper.ended(start, [fingerprint])
-            if keeper.is_suspect(fingerprint):
+                self.terminations.setdefault(fingerprint, []).append(
+                    anyio.current_time()
+                )
+                self.terminate_target(target)
+            await anyio.sleep(_DETECTION_S)
+            manager.record_termination(start, [fingerprint])
+            if manager.is_suspect(fingerprint):
                 return "lost"
         return "lost"
--- a/src/endivegw_standins/request_faults.py
+++ b/src/endivegw_standins/request_faults.py
@@ -1,4 +1,4 @@
-"""Named faults for a world of requests, alone and together."""
+"""Named faults for a simulated request world, injected singly and together."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from endivegw_standins.request_net import NetFaults
 from endivegw_standins.request_world import RequestWorld
 
-__all__ = ["FAULTS", "play"]
+__all__ = ["FAULTS", "fault_scenario"]
 
 Fault = Callable[[RequestWorld, random.Random], Coroutine[Any, Any, None]]
 
 
-async def _nothing(world: RequestWorld, rng: random.Random) -> None:
+async def _no_fault(world: RequestWorld, rng: random.Random) -> None:
     await anyio.sleep_forever()
 
 
-async def _bad_network(world: RequestWorld, rng: random.Random) -> None:
+async def _faulty_network(world: RequestWorld, rng: random.Random) -> None:
     world.net_faults.lose_order = 0.05
-    world.net_faults.double = 0.05
+    world.net_faults.duplicate_order = 0.05
     world.net_faults.break_stream = 0.1
     world.net_faults.lose_call = 0.05
     await anyio.sleep_forever()
 
 
-async def _router_deaths(world: RequestWorld, rng: random.Random) -> None:
+async def _router_crashes(world: RequestWorld, rng: random.Random) -> None:
     while True:
         await anyio.sleep(rng.uniform(0.0, 6.0))
         await world.kill_router(rng.choice(world.routers))
@@ -55,24 +55,24 @@
         await world.replace_machine(rng.choice(list(world.hosts.values())))
 
 
-async def _bad_table(world: RequestWorld, rng: random.Random) -> None:
+async def _faulty_table(world: RequestWorld, rng: random.Random) -> None:
     world.table_faults.lose_answer = 0.1
     world.table_faults.late = 0.05
     world.table_faults.double = 0.05
     await anyio.sleep_forever()
 
 
-async def _table_away(world: RequestWorld, rng: random.Random) -> None:
+async def _table_unavailable(world: RequestWorld, rng: random.Random) -> None:
     await anyio.sleep(rng.uniform(0.0, 10.0))
     world.table_faults.away = True
     await anyio.sleep_forever()
 
 
-async def _all(world: RequestWorld, rng: random.Random) -> None:
+async def _all_faults(world: RequestWorld, rng: random.Random) -> None:
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_bad_network, world, rng)
-        tasks.start_soon(_bad_table, world, rng)
-        for fault in (_router_deaths, _router_pauses, _sidecar_restarts):
+        tasks.start_soon(_faulty_network, world, rng)
+        tasks.start_soon(_faulty_table, world, rng)
+        for fault in (_router_crashes, _router_pauses, _sidecar_restarts):
             tasks.start_soon(fault, world, rng)
         tasks.start_soon(_machine_replacements, world, rng)
         while True:
@@ -80,26 +80,27 @@
             world.table_faults.away = not world.table_faults.away
 
 
-#: By name, in the order in which the measures list them.
+#: Faults by name, in the order in which reports list them.
 FAULTS: dict[str, Fault] = {
-    "none": _nothing,
-    "orders lost, late and doubled; streams broken": _bad_network,
-    "routers die": _router_deaths,
+    "none": _no_fault,
+    "orders lost, late and doubled; streams broken": _faulty_network,
+    "routers die": _router_crashes,
     "routers pause and wake up": _router_pauses,
     "sidecars restart": _sidecar_restarts,
     "target machines are replaced": _machine_replacements,
-    "table writes late, doubled, unanswered": _bad_table,
-    "table away": _table_away,
-    "all together": _all,
+    "table writes late, doubled, unanswered": _faulty_table,
+    "table away": _table_unavailable,
+    "all together": _all_faults,
 }
 
 
-def play(
+def fault_scenario(
     fault: str, requests: int, requests_per_s: float, repeatable_share: float
 ) -> Callable[[RequestWorld], Awaitable[None]]:
-    """Return what sends requests while a fault goes on.
+    """Return a coroutine function that sends requests while a fault is injected.
 
-    Faults end with the last request, and what still runs is left to end.
+    Faults stop after the last request has completed. Orders that are still in transit
+    may arrive later.
     """
 
     async def run(world: RequestWorld) -> None:
--- a/src/endivegw_standins/request_net.py
+++ b/src/endivegw_standins/request_net.py
@@ -1,7 +1,7 @@
-"""Sidecars without sockets: their calls, lost, late, doubled and broken.
+"""In-memory connections to sidecars that lose, delay, duplicate and break calls.
 
-The sidecar is the product's own. This module stands for the network and for
-the machine that it runs on, so that hours with faults run in virtual time.
+The sidecar is the production code. This module replaces the network and the machine,
+so that hours with faults run in virtual time.
 """
 
 from __future__ import annotations
@@ -20,23 +20,25 @@
 
 __all__ = ["FaultyClient", "Host", "NetFaults"]
 
-_FRAMES_UNDER_WAY = 64
+_MAX_FRAMES_IN_FLIGHT = 64
 
 
 @define
 class NetFaults:
-    """Hold what goes wrong between a router and a sidecar; may be changed.
+    """Faults between routers and sidecars, which may be changed at any time.
 
-    :ivar lose_order: share of orders whose connection breaks as they are sent.
-    :ivar arrive_late: share of those that still arrive, up to ``late_by_s`` later.
-    :ivar double: share of orders that arrive a second time.
+    :ivar lose_order: share of orders whose connection breaks while they are sent.
+    :ivar arrive_late: share of these that still arrive, up to ``late_by_s`` later.
+    :ivar duplicate_order: share of orders that arrive a second time.
     :ivar break_stream: share of answers whose stream breaks.
-    :ivar lose_call: share of other calls lost, on the way there or back.
+    :ivar lose_call: share of other calls whose request or reply is lost.
+    :ivar latency_s: mean latency of a message in seconds.
+    :ivar late_by_s: maximum delay of a late order in seconds.
     """
 
     lose_order: float = 0.0
     arrive_late: float = 0.5
-    double: float = 0.0
+    duplicate_order: float = 0.0
     break_stream: float = 0.0
     lose_call: float = 0.0
     latency_s: float = 0.001
@@ -45,7 +47,7 @@
 
 @define(eq=False)
 class Host:
-    """Hold the machine beside a target, and the process that runs on it now."""
+    """A machine beside a target, and the process that currently runs on it."""
 
     vm: str
     target: str
@@ -59,11 +61,11 @@
 
 
 class _Call:
-    """One call's stream inside the process."""
+    """The server side of one call's stream."""
 
     def __init__(self, message: Any) -> None:
         self._message = message
-        sender, receiver = anyio.create_memory_object_stream[Any](_FRAMES_UNDER_WAY)
+        sender, receiver = anyio.create_memory_object_stream[Any](_MAX_FRAMES_IN_FLIGHT)
         self.sender = sender
         self.receiver = receiver
 
@@ -93,7 +95,7 @@
     async def execute(
         self, start: pb.ExecuteStart, body: AsyncIterator[bytes] | None = None
     ) -> AsyncIterator[pb.Frame]:
-        """Hand over an attempt and yield its frames, or fail as a network does."""
+        """Send an order and yield its frames, with the configured network faults."""
         await self._latency()
         if self.host.tasks is None:
             raise NotDelivered("connection refused")
@@ -102,19 +104,19 @@
         if self._happens(self.faults.lose_order):
             if self._happens(self.faults.arrive_late):
                 self.background.start_soon(self._arrive_late, message)
-            raise Broken("the connection broke")
-        if self._happens(self.faults.double):
+            raise Broken("connection reset")
+        if self._happens(self.faults.duplicate_order):
             self.background.start_soon(self._arrive_late, message)
-        breaks_after = self._breaks_after()
+        frames_until_break = self._frames_until_break()
         async for frame in self._answer(message):
             await self._latency()
             yield frame
-            breaks_after -= 1
-            if breaks_after == 0:
-                raise Broken("the connection broke")
+            frames_until_break -= 1
+            if frames_until_break == 0:
+                raise Broken("connection reset")
             if frame.WhichOneof("kind") in ("end", "failed", "refused"):
                 return
-        raise Broken("the connection broke")
+        raise Broken("connection reset")
 
     async def cancel(self, request: Any, timeout_s: float) -> Any:
         """Call Cancel."""
@@ -134,7 +136,7 @@
     async def _answer(self, message: Any) -> AsyncIterator[pb.Frame]:
         process, tasks = self.host.process, self.host.tasks
         if process is None or tasks is None:
-            raise Broken("the process ended")
+            raise Broken("sidecar process has exited")
         call = _Call(message)
         scope = anyio.CancelScope()
         tasks.start_soon(_serve, process.Execute, call, scope)
@@ -153,7 +155,7 @@
         lost = self._happens(self.faults.lose_call)
         if lost and self._happens(0.5):
             await anyio.sleep(timeout_s)
-            raise Broken("the call was lost")
+            raise Broken(f"{name} request lost")
         call = _Call(request)
         tasks.start_soon(_serve, getattr(process, name), call, anyio.CancelScope())
         with anyio.move_on_after(timeout_s):
@@ -161,7 +163,7 @@
                 if not lost:
                     await self._latency()
                     return reply
-        raise Broken("the answer was lost")
+        raise Broken(f"{name} reply lost")
 
     async def _arrive_late(self, message: Any) -> None:
         await anyio.sleep(self.rng.uniform(0.0, self.faults.late_by_s))
@@ -172,7 +174,7 @@
         except Broken:
             pass
 
-    def _breaks_after(self) -> int:
+    def _frames_until_break(self) -> int:
         if not self._happens(self.faults.break_stream):
             return -1
         return self.rng.randint(1, 4)
@@ -190,5 +192,5 @@
             try:
                 await handler(call)
             except anyio.BrokenResourceError:
-                # The reader went away in the middle of the answer.
+                # The reader disconnected in the middle of the answer.
                 pass
--- a/src/endivegw_standins/request_report.py
+++ b/src/endivegw_standins/request_report.py
@@ -1,4 +1,4 @@
-"""The size of a world of requests, and the report on what came of them."""
+"""Size of a simulated request world, and the report on the outcomes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,14 @@
 
 @frozen
 class WorldLimits:
-    """Hold the size of a world.
-
-    :param service_s: how long a target works on a request.
-    :param list_lag_s: how late the VM list learns of a machine's end.
+    """Size and timing of a simulated world.
+
+    :param targets: number of targets, each with one sidecar.
+    :param slots: number of key slots.
+    :param service_s: seconds for which a target works on a request.
+    :param deadline_s: seconds until the deadline of each try.
+    :param tries: number of tries of one caller.
+    :param list_lag_s: seconds until the VM list shows the termination of a machine.
     """
 
     targets: int = 6
@@ -31,22 +35,22 @@
 
 @define
 class WorldReport:
-    """Count what came of the requests.
-
-    :ivar doubled: requests that may not be repeated and started twice.
-    :ivar told_not_run_but_ran: callers who were told *not run* wrongly.
-    :ivar wrong_bytes: answers that are not what one attempt made.
-    :ivar lost: requests whose caller was told nothing within all its tries.
-    :ivar first: what callers were told at their first try.
-    :ivar last: what they had in the end, with retries.
-    :ivar reasons: why the last word was not an answer.
-    :ivar retry_s: from a router's death to the whole answer by the retry.
-    :ivar claim_s: how long claims took.
+    """Counts of the outcomes of requests.
+
+    :ivar ran_twice: non-repeatable requests that started twice.
+    :ivar false_not_run: callers to whom *not run* was reported wrongly.
+    :ivar wrong_bytes: answers that differ from the output of a single attempt.
+    :ivar lost: requests whose caller got no result in any of its tries.
+    :ivar first: results of the first tries.
+    :ivar last: final results, after retries.
+    :ivar reasons: reasons of final results that are not answers.
+    :ivar retry_s: seconds from a router's crash to the complete answer of the retry.
+    :ivar claim_s: durations of claims in seconds.
     """
 
     requests: int = 0
-    doubled: int = 0
-    told_not_run_but_ran: int = 0
+    ran_twice: int = 0
+    false_not_run: int = 0
     wrong_bytes: int = 0
     lost: int = 0
     first: Counter[str] = field(factory=Counter)
--- a/src/endivegw_standins/request_world.py
+++ b/src/endivegw_standins/request_world.py
@@ -1,8 +1,8 @@
-"""Callers, routers and sidecars with faults, in virtual time, without sockets.
+"""Simulate callers, routers and sidecars with faults in virtual time, in memory.
 
-The product's own parts decide: the request's state machine and its driver at
-the routers; the gate, the starts and the desk for key slots at the sidecars.
-This module makes them fail and counts what callers were told.
+The decisions are made by production code: at the routers the state machine of a
+request and its driver, at the sidecars the gate, the start registry and the service for
+key slots. This module injects the faults and counts the results of the callers.
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 from endivegw.exceptions import PeerError
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.requests.attempt_limits import AttemptLimits
-from endivegw.requests.attempts import RequestMachine
-from endivegw.requests.claims import ClaimAnswer, ClaimAsk
-from endivegw.requests.slots import TakeRule
+from endivegw.requests.attempts import RequestStateMachine
+from endivegw.requests.claims import ClaimAnswer, ClaimProposal
+from endivegw.requests.slots import AcquisitionRule
 from endivegw.requests.starts import StartRegistry
 from endivegw.requests.steps import Ending, HandOver, RequestFacts
 from endivegw.results import Done, Reason, Refused, Result
@@ -54,12 +54,12 @@
 
 __all__ = ["RequestWorld", "WorldLimits", "WorldReport", "run_world"]
 
-_PIECES = 4
+_CHUNKS = 4
 _BODY_DIGEST = b"digest"
 
 
 class _Service:
-    """A plain service that notes each call and answers in pieces."""
+    """A plain service that records each call and answers in chunks."""
 
     def __init__(self, world: RequestWorld) -> None:
         self._world = world
@@ -67,15 +67,15 @@
     async def call(
         self, request: ServiceRequest, body: AsyncIterator[bytes]
     ) -> AsyncIterator[ServiceAnswerHead | bytes]:
-        self._world.note_start(request.attempt_id)
+        self._world.record_start(request.attempt_id)
         yield ServiceAnswerHead(200, ())
-        for piece in range(_PIECES):
-            await anyio.sleep(self._world.limits.service_s / _PIECES)
-            yield _piece(request.attempt_id, piece)
+        for chunk in range(_CHUNKS):
+            await anyio.sleep(self._world.limits.service_s / _CHUNKS)
+            yield _chunk(request.attempt_id, chunk)
 
 
 class _Grants:
-    """Plain services need no grants."""
+    """Grants that admit everything, because plain services need none."""
 
     def consume(self, attempt_id: AttemptId, tokens: int, now_s: float) -> None:
         pass
@@ -102,7 +102,7 @@
 
 @define(eq=False)
 class _Router:
-    """One router process; a paused one stands still at its next call."""
+    """A router process. A paused one blocks at its next call."""
 
     number: int
     maps: SlotMapReader
@@ -115,7 +115,7 @@
 
 @define
 class _Ports:
-    """What the driver needs of its router, for one request."""
+    """The ports of a router that the driver of one request uses."""
 
     world: RequestWorld
     router: _Router
@@ -159,12 +159,13 @@
     def body(self) -> None:
         return None
 
-    async def claim(self, ask: ClaimAsk) -> ClaimAnswer | None:
+    async def claim(self, proposal: ClaimProposal) -> ClaimAnswer | None:
         await self.router.running.wait()
-        began_s = self.world.now_s()
-        answer = await self.router.claims.claim(self.facts.identity, ask)
-        self.world.report.claim_s.append(self.world.now_s() - began_s)
-        # A pause here is the worst one: the claim is held, the order not sent.
+        started_s = self.world.now_s()
+        answer = await self.router.claims.claim(self.facts.identity, proposal)
+        self.world.report.claim_s.append(self.world.now_s() - started_s)
+        # A pause at this point is the worst case: the claim is held but the order has
+        # not been sent.
         await self.router.running.wait()
         return answer
 
@@ -188,9 +189,9 @@
 
 
 class RequestWorld:
-    """Hold the whole of it; faults are changed while it runs.
+    """A simulated fleet whose faults can be changed while it runs.
 
-    :ivar heartbeats: incarnations as routers know them, a little old.
+    :ivar heartbeats: incarnations known to the routers, which lag slightly.
     """
 
     def __init__(self, limits: WorldLimits, seed: int, background: TaskGroup) -> None:
@@ -208,8 +209,8 @@
         self.started: set[AttemptId] = set()
         self.report = WorldReport()
         self._not_run: list[frozenset[AttemptId]] = []
-        self._made: dict[RequestIdentity, set[AttemptId]] = {}
-        self._single: set[RequestIdentity] = set()
+        self._attempts_by_identity: dict[RequestIdentity, set[AttemptId]] = {}
+        self._non_repeatable: set[RequestIdentity] = set()
         self._vms = 0
         self._ids = 0
 
@@ -218,19 +219,19 @@
         return asyncio.get_running_loop().time()
 
     def header(self) -> pb.Header:
-        """Return what routers put on their messages."""
+        """Return the header of messages sent by routers."""
         return pb.Header(protocol_version=1, instance_id="r", config_revision=1)
 
     def client(self, host: Host) -> FaultyClient:
         """Return a connection to a host."""
         return FaultyClient(host, self.net_faults, self.rng, self.background)
 
-    def note_start(self, attempt_id: AttemptId) -> None:
-        """Take it that a target began to work."""
+    def record_start(self, attempt_id: AttemptId) -> None:
+        """Record that a target started to run an attempt."""
         self.starts[self.identities[attempt_id]] += 1
         self.started.add(attempt_id)
 
-    async def begin(self) -> None:
+    async def start(self) -> None:
         """Start all processes and wait until the slots have owners."""
         for number in range(self.limits.targets):
             self.add_target(f"t{number}")
@@ -240,7 +241,7 @@
         await anyio.sleep(60.0)
 
     def add_target(self, target: str) -> None:
-        """Put a new machine beside a target."""
+        """Add a new machine beside a target."""
         self._vms += 1
         vm = f"vm{self._vms}"
         host = Host(vm, target, vm)
@@ -248,19 +249,19 @@
         self.start_process(host)
 
     def start_process(self, host: Host) -> None:
-        """Start a sidecar on a host; a former one has ended."""
+        """Start a sidecar on a host whose previous one, if any, has stopped."""
         host.instances += 1
         host.scope = anyio.CancelScope()
         self.background.start_soon(self._run_process, host, host.scope)
 
     def stop_process(self, host: Host) -> None:
-        """Let a process end without a word."""
+        """Kill a sidecar process without notice."""
         if host.scope is not None:
             host.scope.cancel()
         host.process = host.tasks = host.desk = None
 
     async def replace_machine(self, host: Host) -> None:
-        """Let a machine end; the list learns of it late, then another comes."""
+        """Terminate a machine, remove it from the list after a lag, and replace it."""
         self.stop_process(host)
         await anyio.sleep(self.limits.list_lag_s)
         host.listed = False
@@ -277,71 +278,71 @@
         self.background.start_soon(self._run_router, router)
 
     async def kill_router(self, router: _Router) -> None:
-        """Let a router end; callers see their connections break."""
+        """Kill and replace a router; its callers' connections break."""
         self.routers.remove(router)
         router.scope.cancel()
         router.died.set()
         self.add_router()
 
     async def pause_router(self, router: _Router, duration_s: float) -> None:
-        """Let a router stand still and wake up."""
+        """Pause a router for a while, then resume it."""
         router.running = anyio.Event()
         await anyio.sleep(duration_s)
         router.running.set()
 
     async def call(self, number: int, *, repeatable: bool) -> None:
-        """Be one caller: send a request, and again with the same key."""
+        """Send a request as one caller, retrying with the same key."""
         identity = RequestIdentity(ClientAccountName("a"), f"key-{number}")
         self.report.requests += 1
-        word: Ending | None = None
+        ending: Ending | None = None
         died_s: float | None = None
         for attempt in range(self.limits.tries):
             router = self.rng.choice(self.routers)
-            word = await self._try(router, identity, repeatable)
-            told = "router died" if word is None else word.outcome.value
+            ending = await self._try(router, identity, repeatable)
+            result = "router died" if ending is None else ending.outcome.value
             if attempt == 0:
-                self.report.first[told] += 1
-            if word is None and died_s is None:
+                self.report.first[result] += 1
+            if ending is None and died_s is None:
                 died_s = self.now_s()
-            if word is not None and word.outcome is Outcome.ANSWERED:
+            if ending is not None and ending.outcome is Outcome.ANSWERED:
                 if died_s is not None:
                     self.report.retry_s.append(self.now_s() - died_s)
                 break
-            # A broken connection is retried at once, a word after a while.
-            if word is not None:
+            # A broken connection is retried at once, a reported result after a delay.
+            if ending is not None:
                 await anyio.sleep(self.rng.uniform(0.0, 2.0))
-        self._note_last(word)
+        self._record_last(ending)
 
     def verify(self) -> WorldReport:
-        """Compare what callers were told with what ran; call at the end."""
+        """Compare the reported results with what ran; call at the end."""
         report = self.report
-        report.doubled = sum(
+        report.ran_twice = sum(
             count > 1
             for identity, count in self.starts.items()
-            if identity in self._single
+            if identity in self._non_repeatable
         )
         for attempts in self._not_run:
-            report.told_not_run_but_ran += bool(attempts & self.started)
+            report.false_not_run += bool(attempts & self.started)
         return report
 
-    def _note_last(self, word: Ending | None) -> None:
-        if word is None:
+    def _record_last(self, ending: Ending | None) -> None:
+        if ending is None:
             self.report.lost += 1
             return
-        self.report.last[word.outcome.value] += 1
-        if word.reason is not None:
-            self.report.reasons[f"{word.outcome.value}: {word.reason.value}"] += 1
+        self.report.last[ending.outcome.value] += 1
+        if ending.reason is not None:
+            self.report.reasons[f"{ending.outcome.value}: {ending.reason.value}"] += 1
 
     async def _try(
         self, router: _Router, identity: RequestIdentity, repeatable: bool
     ) -> Ending | None:
         if not repeatable:
-            self._single.add(identity)
+            self._non_repeatable.add(identity)
         deadline_s = self.now_s() + self.limits.deadline_s
         facts = RequestFacts(identity, _BODY_DIGEST, True, repeatable, deadline_s)
         ports = _Ports(self, router, facts)
         attempts: set[AttemptId] = set()
-        machine = RequestMachine(
+        machine = RequestStateMachine(
             facts,
             AttemptLimits(),
             RetryPolicy(),
@@ -354,11 +355,11 @@
         if ending is None:
             return None
         if ending.outcome is Outcome.NOT_RUN:
-            # Where a request may be repeated the word is about this try alone;
-            # else it is about every try with the key until now.
-            all_tries = self._made.get(identity, set())
-            spoken_of = attempts if repeatable else all_tries
-            self._not_run.append(frozenset(spoken_of))
+            # For a repeatable request, *not run* refers to this try only; otherwise it
+            # refers to every try with the key so far.
+            all_tries = self._attempts_by_identity.get(identity, set())
+            covered = attempts if repeatable else all_tries
+            self._not_run.append(frozenset(covered))
         if ending.outcome is Outcome.ANSWERED:
             self._check_bytes(bytes(ports.received), identity)
         return ending
@@ -382,9 +383,9 @@
 
     def _check_bytes(self, received: bytes, identity: RequestIdentity) -> None:
         attempt_id = AttemptId(received.split(b"/")[0].decode())
-        made = b"".join(_piece(attempt_id, piece) for piece in range(_PIECES))
-        mine = self.identities.get(attempt_id) == identity
-        if received != made or not mine or attempt_id not in self.started:
+        expected = b"".join(_chunk(attempt_id, chunk) for chunk in range(_CHUNKS))
+        belongs = self.identities.get(attempt_id) == identity
+        if received != expected or not belongs or attempt_id not in self.started:
             self.report.wrong_bytes += 1
 
     def _new_id(
@@ -394,7 +395,7 @@
             self._ids += 1
             attempt_id = AttemptId(f"a{self._ids}")
             attempts.add(attempt_id)
-            self._made.setdefault(identity, set()).add(attempt_id)
+            self._attempts_by_identity.setdefault(identity, set()).add(attempt_id)
             return attempt_id
 
         return new_id
@@ -409,7 +410,7 @@
         return self.client(Host(address, "", address))
 
     async def list_vms(self, *, timeout_s: float) -> Result[tuple[ListedVm, ...]]:
-        """Return the VM list, which lags."""
+        """Return the VM list, which shows terminations after a lag."""
         zone = AvailabilityZone("z")
         return Done(
             tuple(
@@ -430,7 +431,7 @@
                 settings.target,
                 instance,
                 host.address,
-                rule=TakeRule(self.limits.slots),
+                rule=AcquisitionRule(self.limits.slots),
                 limits=self.limits.claims,
             ),
             self._table(),
@@ -481,19 +482,19 @@
 def run_world(
     limits: WorldLimits,
     seed: int,
-    play: Callable[[RequestWorld], Any],
+    scenario: Callable[[RequestWorld], Any],
 ) -> WorldReport:
     """Run a world in virtual time.
 
-    :param play: a coroutine function that sends requests and makes faults.
+    :param scenario: a coroutine function that sends requests and injects faults.
     """
 
     async def main() -> WorldReport:
         async with anyio.create_task_group() as tasks:
             world = RequestWorld(limits, seed, tasks)
-            await world.begin()
-            await play(world)
-            # Late orders may still arrive.
+            await world.start()
+            await scenario(world)
+            # Wait for late orders that may still arrive.
             await anyio.sleep(world.net_faults.late_by_s + 1.0)
             report = world.verify()
             tasks.cancel_scope.cancel()
@@ -503,5 +504,5 @@
         return runner.run(main())
 
 
-def _piece(attempt_id: AttemptId, piece: int) -> bytes:
-    return f"{attempt_id}/{piece};".encode()
+def _chunk(attempt_id: AttemptId, chunk: int) -> bytes:
+    return f"{attempt_id}/{chunk};".encode()
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -1,4 +1,4 @@
-"""A generation that ends each engine that runs it, in the fleet with sidecars."""
+"""A generation that terminates each engine that runs it, in a fleet with sidecars."""
 
 from __future__ import annotations
 
@@ -11,45 +11,46 @@
 
 DEADLY = "a prompt that ends its engine"
 
-#: Engines that one content may end: three, and three more until all know.
-MOST_ENDS = 6
+#: Engines that one content may terminate: three until it is quarantined, and three more
+#: until all routers have the evidence.
+MAX_TERMINATIONS = 6
 
 
-async def ask_deadly(fleet: DevFleet, router: int) -> None:
-    """Ask one router for what ends engines."""
+async def send_deadly(fleet: DevFleet, router: int) -> None:
+    """Send the generation that terminates engines to one router."""
     path = "/v1/chat/completions"
     await post(fleet, path, chat(DEADLY), router=router, endivegw_deadline_s="8")
 
 
 class CrashingCallTests(unittest.TestCase):
-    """Play a caller that sends the same generation to both routers."""
+    """A caller sends the same generation to both routers."""
 
-    def test_a_generation_that_ends_its_engines_is_kept_from_the_others(self) -> None:
-        """Guards against one generation that takes down engine after engine."""
+    def test_a_generation_that_terminates_engines_is_quarantined(self) -> None:
+        """Guards against one generation that terminates engine after engine."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with running_fleet() as fleet:
                 for engine in fleet.engines.values():
                     engine.knobs.ended_by = DEADLY
                 for calls in (1, 1, 1, 6):
                     async with anyio.create_task_group() as tasks:
                         for number in range(calls):
-                            tasks.start_soon(ask_deadly, fleet, number % 2)
-                ends = sum(engine.ends for engine in fleet.engines.values())
-                self.assertLessEqual(ends, MOST_ENDS)
+                            tasks.start_soon(send_deadly, fleet, number % 2)
+                terminations = sum(engine.ends for engine in fleet.engines.values())
+                self.assertLessEqual(terminations, MAX_TERMINATIONS)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_generation_beside_it_is_answered(self) -> None:
-        """Guards against healthy generations that are refused for their neighbour."""
+    def test_a_concurrent_generation_is_answered(self) -> None:
+        """Guards against refusing healthy generations that run beside a deadly one."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with running_fleet() as fleet:
                 for engine in fleet.engines.values():
                     engine.knobs.ended_by = DEADLY
                 statuses: list[int] = []
 
-                async def ask_well(number: int) -> None:
+                async def send_healthy(number: int) -> None:
                     body = chat(f"all is well {number}", max_tokens=20)
                     path = "/v1/chat/completions"
                     for _ in range(3):
@@ -60,11 +61,11 @@
 
                 async with anyio.create_task_group() as tasks:
                     for number in range(8):
-                        tasks.start_soon(ask_well, number)
-                        tasks.start_soon(ask_deadly, fleet, number % 2)
+                        tasks.start_soon(send_healthy, number)
+                        tasks.start_soon(send_deadly, fleet, number % 2)
                 self.assertEqual(statuses, [200] * 8)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that ends each target that runs it, and comes again and again."""
+"""A request that terminates each target that runs it, and is sent repeatedly."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 DEADLY = b"a prompt that ends its engine"
 
-#: Arrivals at targets beyond the third end that are allowed in all.
-MOST_MORE = 3
+#: Arrivals at targets that are allowed in total after the third termination.
+MAX_LATE = 3
 
 
 def arm(fleet: AskedFleet) -> None:
-    """Let the deadly request end each engine."""
+    """Make the deadly request terminate each engine that runs it."""
     for worker in fleet.workers.values():
         worker.ended_by = DEADLY
 
 
 def arrivals(fleet: AskedFleet) -> int:
-    """Return how often the deadly request began to run."""
+    """Return how often the deadly request started to run."""
     runs = [run for worker in fleet.workers.values() for run in worker.runs]
     return sum(run.body == DEADLY for run in runs)
 
 
-async def ask_well(fleet: AskedFleet, router: int) -> Answer:
-    """Ask for something harmless until it is answered, as a patient caller does."""
+async def send_healthy(fleet: AskedFleet, router: int) -> Answer:
+    """Send a harmless request until it is answered completely."""
     with anyio.fail_after(20):
         while True:
             answer = await fleet.ask(
@@ -39,34 +39,34 @@
 
 
 class CrashingRequestTests(unittest.TestCase):
-    """Play the callers of a fleet of three routers and four engines."""
+    """Callers of a fleet with two or three routers and four engines."""
 
-    def test_a_request_that_ends_its_targets_is_kept_from_the_others(self) -> None:
-        """Guards against one request that takes down engine after engine."""
+    def test_a_request_that_terminates_targets_is_quarantined(self) -> None:
+        """Guards against one request that terminates engine after engine."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet(routers=3, engines=4) as fleet:
                 arm(fleet)
                 for number in range(9):
-                    await ask_well(fleet, number % 3)
+                    await send_healthy(fleet, number % 3)
                     await fleet.ask(
                         "resumable", router=number % 3, tokens=(60, 20), body=DEADLY
                     )
-                self.assertLessEqual(arrivals(fleet), 3 + MOST_MORE)
+                self.assertLessEqual(arrivals(fleet), 3 + MAX_LATE)
                 refused = await fleet.ask("resumable", tokens=(60, 20), body=DEADLY)
                 self.assertEqual(refused.status, 503)
                 self.assertGreater(float(refused.fields["retry-after"]), 1.0)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_routers_that_start_anew_do_not_begin_the_count_anew(self) -> None:
-        """Guards against a quarantine that ends with the processes that hold it."""
+    def test_router_restarts_do_not_reset_the_count(self) -> None:
+        """Guards against a quarantine that is lost with the router processes."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet(routers=2, engines=4) as fleet:
                 arm(fleet)
                 for number in range(8):
-                    await ask_well(fleet, number % 2)
+                    await send_healthy(fleet, number % 2)
                     await fleet.ask(
                         "resumable", router=number % 2, tokens=(60, 20), body=DEADLY
                     )
@@ -75,9 +75,9 @@
                         for _ in range(2):
                             fleet.start_router()
                         await fleet.wait_ready()
-                self.assertLessEqual(arrivals(fleet), 3 + MOST_MORE)
+                self.assertLessEqual(arrivals(fleet), 3 + MAX_LATE)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_quarantine_evidence.py
+++ b/tests/test_quarantine_evidence.py
@@ -1,4 +1,4 @@
-"""Which requests were in progress at a target as it ended."""
+"""Requests that were in progress at a target when it terminated."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class FingerprintTests(unittest.TestCase):
-    """A request's repeats bear its name, and no other request does."""
+    """Repeats of a request share its fingerprint, and no other request does."""
 
     def test_each_part_counts(self) -> None:
-        """The name follows from method, host, path, account and body alone."""
+        """The fingerprint depends on method, host, path, account and body only."""
         hotel = ClientAccountName("hotel")
         parts = (b"POST", "h", b"/a/b", hotel, b"body")
-        name = fingerprint_of(*parts)
-        self.assertEqual(name, fingerprint_of(*parts))
+        fingerprint = fingerprint_of(*parts)
+        self.assertEqual(fingerprint, fingerprint_of(*parts))
         others = [
             (b"PUT", "h", b"/a/b", hotel, b"body"),
             (b"POST", "i", b"/a/b", hotel, b"body"),
@@ -30,51 +30,55 @@
             (b"POST", "h", b"/a/b", hotel, b"bodi"),
             (b"POST", "h", b"/a/bh", ClientAccountName("otel"), b"body"),
         ]
-        self.assertEqual(len({name, *(fingerprint_of(*other) for other in others)}), 8)
-        self.assertEqual(len(name), 16)
+        self.assertEqual(
+            len({fingerprint, *(fingerprint_of(*other) for other in others)}), 8
+        )
+        self.assertEqual(len(fingerprint), 16)
 
 
 class LostSendsTests(unittest.TestCase):
-    """A lost send counts once its target is known to have ended."""
+    """A lost send counts once its target is known to have terminated."""
 
-    def test_a_cut_connection_alone_is_no_evidence(self) -> None:
+    def test_a_broken_connection_alone_is_no_evidence(self) -> None:
         """Guards against blaming requests for connections that the network resets."""
         sends = LostSends()
-        self.assertFalse(sends.lose(START, ADDRESS, ONE, 1.0))
-        self.assertFalse(sends.has_ended(START))
+        self.assertFalse(sends.record_loss(START, ADDRESS, ONE, 1.0))
+        self.assertFalse(sends.has_terminated(START))
 
-    def test_loss_and_end_are_joined_in_either_order(self) -> None:
-        """Guards against lost evidence where one connection breaks a moment later."""
+    def test_loss_and_termination_match_in_either_order(self) -> None:
+        """Guards against lost evidence if a connection breaks after the termination."""
         sends = LostSends()
-        sends.lose(START, ADDRESS, ONE, 1.0)
-        self.assertEqual(sends.end(START, 1.1), [ONE])
-        self.assertTrue(sends.lose(START, ADDRESS, TWO, 1.2))
-        self.assertEqual(sends.end(START, 1.3), [])
+        sends.record_loss(START, ADDRESS, ONE, 1.0)
+        self.assertEqual(sends.record_termination(START, 1.1), [ONE])
+        self.assertTrue(sends.record_loss(START, ADDRESS, TWO, 1.2))
+        self.assertEqual(sends.record_termination(START, 1.3), [])
 
-    def test_a_loss_long_before_the_end_is_no_evidence(self) -> None:
-        """Guards against blaming a request for a target that ended much later."""
+    def test_a_loss_long_before_the_termination_is_no_evidence(self) -> None:
+        """Guards against blaming a request for a target that terminated much later."""
         sends = LostSends()
-        sends.lose(START, ADDRESS, ONE, 1.0)
-        self.assertEqual(sends.end(START, 60.0), [])
-        self.assertFalse(sends.lose(START, ADDRESS, TWO, 120.0))
+        sends.record_loss(START, ADDRESS, ONE, 1.0)
+        self.assertEqual(sends.record_termination(START, 60.0), [])
+        self.assertFalse(sends.record_loss(START, ADDRESS, TWO, 120.0))
 
-    def test_starts_under_one_id_are_told_apart(self) -> None:
-        """Guards against blaming a request for the end of an earlier start."""
+    def test_starts_with_the_same_id_are_distinguished(self) -> None:
+        """Guards against blaming a request for the termination of another start."""
         sends = LostSends()
-        sends.lose(START, ADDRESS, ONE, 1.0)
-        self.assertEqual(sends.end(TargetStart(InstanceId("e-1"), 6), 1.1), [])
-        self.assertEqual(sends.end(START, 1.2), [ONE])
-
-    def test_a_newcomer_at_the_address_shows_the_end(self) -> None:
-        """Guards against lost evidence of targets that are soon back."""
+        sends.record_loss(START, ADDRESS, ONE, 1.0)
+        self.assertEqual(
+            sends.record_termination(TargetStart(InstanceId("e-1"), 6), 1.1), []
+        )
+        self.assertEqual(sends.record_termination(START, 1.2), [ONE])
+
+    def test_a_new_start_at_the_address_proves_the_termination(self) -> None:
+        """Guards against lost evidence of targets that restart quickly."""
         sends = LostSends()
-        sends.lose(START, ADDRESS, ONE, 1.0)
-        newcomer = TargetStart(InstanceId("e-9"), None)
-        self.assertEqual(sends.others_at(ADDRESS, START), [])
-        self.assertEqual(sends.others_at("10.0.0.2:80", newcomer), [])
-        self.assertEqual(sends.others_at(ADDRESS, newcomer), [START])
-        sends.end(START, 4.0)
-        self.assertEqual(sends.others_at(ADDRESS, newcomer), [])
+        sends.record_loss(START, ADDRESS, ONE, 1.0)
+        new_start = TargetStart(InstanceId("e-9"), None)
+        self.assertEqual(sends.other_starts_at(ADDRESS, START), [])
+        self.assertEqual(sends.other_starts_at("10.0.0.2:80", new_start), [])
+        self.assertEqual(sends.other_starts_at(ADDRESS, new_start), [START])
+        sends.record_termination(START, 4.0)
+        self.assertEqual(sends.other_starts_at(ADDRESS, new_start), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_sidecar_claims.py
+++ b/tests/test_sidecar_claims.py
@@ -14,9 +14,9 @@
 from endivegw.decisions.retry import RetryBudget, RetryPolicy
 from endivegw.peers import SidecarClient
 from endivegw.requests.attempt_limits import AttemptLimits
-from endivegw.requests.attempts import RequestMachine
+from endivegw.requests.attempts import RequestStateMachine
 from endivegw.requests.claims import ClaimLimits
-from endivegw.requests.slots import TakeRule
+from endivegw.requests.slots import AcquisitionRule
 from endivegw.requests.steps import RequestFacts
 from endivegw.results import Done, Reason
 from endivegw.services import ListedVm, VmState
@@ -34,7 +34,7 @@
 from endivegw_standins.memory_table import MemoryTable
 from tests.sidecar_fakes import FakeService, Rig
 
-LIMITS = ClaimLimits(spacing_s=0.02, beat_s=0.05, grace_s=1.0)
+LIMITS = ClaimLimits(commit_interval_s=0.02, heartbeat_interval_s=0.05, grace_s=1.0)
 TARGET = TargetName("t1")
 
 
@@ -81,7 +81,7 @@
             watch_s=0.05,
             near_watch_s=0.05,
             wait_s=0.3,
-            rule=TakeRule(1, 0.1),
+            rule=AcquisitionRule(1, 0.1),
             limits=LIMITS,
         )
         table = self.table()
@@ -136,7 +136,7 @@
         self.identity = RequestIdentity(ClientAccountName("lobby"), key)
         self.deadline_s = time.monotonic() + deadline_s
         facts = RequestFacts(self.identity, b"d", True, False, self.deadline_s)
-        machine = RequestMachine(
+        machine = RequestStateMachine(
             facts,
             AttemptLimits(),
             RetryPolicy(),
--- a/tests/test_sidecar_run.py
+++ b/tests/test_sidecar_run.py
@@ -7,7 +7,7 @@
 from endivegw.daemons.sidecar_run import READ_BYTES, Run
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.requests.buffer import AnswerBuffer, BufferHead
-from endivegw.requests.starts import Offer
+from endivegw.requests.starts import StartOrder
 from endivegw.types import (
     AttemptId,
     ClientAccountName,
@@ -19,7 +19,7 @@
 
 
 def new_run():
-    offer = Offer(
+    order = StartOrder(
         RequestIdentity(ClientAccountName("lobby"), "key"),
         AttemptId("attempt"),
         b"digest",
@@ -27,7 +27,7 @@
         "instance",
         False,
     )
-    return Run(offer, AnswerBuffer(4 * READ_BYTES), 60.0)
+    return Run(order, AnswerBuffer(4 * READ_BYTES), 60.0)
 
 
 async def read_frames(run, taken):
--- a/tests/test_target_word.py
+++ b/tests/test_target_word.py
@@ -18,7 +18,7 @@
 )
 from endivegw.gossip.messages import News, TargetLeaving, decode, encode
 from endivegw.platform.wire import PlatformWire
-from endivegw.quarantine import RequestRecord, TargetEnded, TargetStart
+from endivegw.quarantine import RequestRecord, TargetStart, TargetTerminated
 from endivegw.quarantine.fingerprint import Fingerprint
 from endivegw.relay.attempt import AttemptResult, End
 from endivegw.relay.request_progress import attempt_kind
@@ -190,7 +190,7 @@
         for told in (
             TargetLeaving(start),
             TargetLeaving(other),
-            TargetEnded(start, (name, Fingerprint("other"))),
+            TargetTerminated(start, (name, Fingerprint("other"))),
             RequestRecord(name, frozenset({start, other}), frozenset({start}), True),
         ):
             news = News(InstanceId("vm-0"), told)
