--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -15,12 +15,12 @@
 
 from endivegw.budgets import (
     BillLine,
-    BudgetKeeper,
-    KeeperOptions,
+    BudgetManager,
+    BudgetOptions,
     Reservation,
     SealedGrant,
-    TransferAsk,
-    TransferOffer,
+    TokenTransferRequest,
+    TokenTransferResponse,
 )
 from endivegw.budgets.gate import GrantGate
 from endivegw.budgets.recovery import ROUND_S, Recovery, SealAnswer
@@ -82,7 +82,7 @@
     number: int
     faults: TableFaults
     alive: bool = True
-    gone_at_s: float | None = None
+    terminated_at_s: float | None = None
     usages: dict[AttemptId, Usage] = field(factory=dict)
     used: dict[AttemptId, int] = field(factory=dict)
     running: set[AttemptId] = field(factory=set)
@@ -197,7 +197,9 @@
             and self.fleet.linked(self.owner, router.instance_id)
         )
 
-    async def ask(self, peer, ask: TransferAsk, *, timeout_s) -> Result[TransferOffer]:
+    async def transfer(
+        self, peer, transfer: TokenTransferRequest, *, timeout_s
+    ) -> Result[TokenTransferResponse]:
         """Carry an ask, which may be lost, doubled or answered in vain."""
         router = self.fleet.router_named(peer)
         rng = self.fleet.rng
@@ -209,9 +211,9 @@
             await anyio.sleep(timeout_s)
             return Unknown(Reason.TIMEOUT)
         await router.awake()
-        offer = router.keeper.lend(ask, self.fleet.clock())
+        offer = router.budget_manager.lend(transfer, self.fleet.clock())
         if rng.random() < self.double:
-            offer = router.keeper.lend(ask, self.fleet.clock())
+            offer = router.budget_manager.lend(transfer, self.fleet.clock())
         await self.fleet.link()
         if rng.random() < self.lose:
             await anyio.sleep(timeout_s)
@@ -229,7 +231,7 @@
     peers: _PeerLink | None
     alive: bool = True
     cut_from: set[TargetName] = field(factory=set)
-    keeper: BudgetKeeper = None
+    budget_manager: BudgetManager = None
     held: list[tuple[FleetSidecar, Reservation]] = field(factory=list)
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
     resumed: anyio.Event | None = None
@@ -237,7 +239,7 @@
 
     def __attrs_post_init__(self):
         fleet = self.fleet
-        self.keeper = BudgetKeeper(
+        self.budget_manager = BudgetManager(
             self.instance_id,
             _PausableTable(self, fleet.view(self.faults)),
             fleet.clock,
@@ -251,7 +253,7 @@
         """Run the keeper's loop and resolve held attempts until it dies."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.keeper.run)
+                tasks.start_soon(self.budget_manager.run)
                 tasks.start_soon(self._resolve_held)
 
     async def awake(self):
@@ -295,7 +297,7 @@
         refused = Refused(Reason.NO_TARGET)
         for _ in range(6):
             await self.awake()
-            got = await self.keeper.reserve(
+            got = await self.budget_manager.reserve(
                 work.budget,
                 work.bound_tokens,
                 deadline_s=until_s,
@@ -313,7 +315,7 @@
         clock = self.fleet.clock
         sidecar = self.fleet.pick(self.cut_from)
         if sidecar is None:
-            self.keeper.release(reservation, clock())
+            self.budget_manager.release(reservation, clock())
             return Refused(Reason.NO_TARGET)
         await self.awake()
         needed = work.prompt_tokens + work.completion_tokens
@@ -329,23 +331,23 @@
             result = Unknown(Reason.ANSWER_LOST)
         match result:
             case Done(usage):
-                self.keeper.finish(reservation, usage, clock())
+                self.budget_manager.finish(reservation, usage, clock())
                 self._bill(work, usage, Outcome.ANSWERED)
                 return Outcome.ANSWERED
             case Refused(reason=reason):
-                self.keeper.release(reservation, clock())
+                self.budget_manager.release(reservation, clock())
                 if reason is Reason.GRANT_SEALED:
-                    self.keeper.grant_sealed(reservation.grant_id, clock())
+                    self.budget_manager.grant_sealed(reservation.grant_id, clock())
                 return result
             case Unknown():
-                self.keeper.hold(reservation, clock())
+                self.budget_manager.hold(reservation, clock())
                 self.held.append((sidecar, reservation))
                 self._bill(work, Usage(), Outcome.UNKNOWN)
                 return Outcome.UNKNOWN
 
     def _bill(self, work, usage, outcome):
         identity = RequestIdentity(work.budget.client_account, work.key)
-        self.keeper.bill(
+        self.budget_manager.bill(
             BillLine(
                 identity,
                 work.budget,
@@ -370,9 +372,11 @@
 
     def _resolve(self, sidecar, reservation):
         now_s = self.fleet.clock()
-        if sidecar.gone_at_s is not None:
+        if sidecar.terminated_at_s is not None:
             # It can never be asked: the whole reservation is charged.
-            self.keeper.resolve(reservation, Usage(reservation.tokens, 0), now_s)
+            self.budget_manager.resolve(
+                reservation, Usage(reservation.tokens, 0), now_s
+            )
             return True
         if not sidecar.alive or sidecar.target in self.cut_from:
             return False
@@ -380,7 +384,7 @@
         if attempt_id in sidecar.running:
             return False
         usage = sidecar.usages.get(attempt_id, Usage())
-        self.keeper.resolve(reservation, usage, now_s)
+        self.budget_manager.resolve(reservation, usage, now_s)
         return True
 
 
@@ -434,11 +438,11 @@
         await self.fleet.link()
         return Done(SealAnswer(sidecar.instance_id, grants))
 
-    def gone_at_s(self, target, sidecar):
+    def terminated_at_s(self, target, sidecar):
         """Return the platform's word on a sidecar's machine."""
         for one in self.fleet.all_sidecars:
             if one.instance_id == sidecar:
-                return one.gone_at_s
+                return one.terminated_at_s
         return None
 
 
@@ -455,7 +459,7 @@
         *,
         routers: int,
         sidecars: int,
-        options: KeeperOptions | None = None,
+        options: BudgetOptions | None = None,
         transfers: bool = True,
         checkpoint_s: float = 30.0,
         engine_tokens_per_s: float = 60.0,
@@ -464,7 +468,7 @@
         self.tasks = tasks
         self.rng = rng
         self.table = table or MemoryTable()
-        self.options = options or KeeperOptions()
+        self.options = options or BudgetOptions()
         self.transfers = transfers
         self.checkpoint_s = checkpoint_s
         self.engine_tokens_per_s = engine_tokens_per_s
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -21,7 +21,7 @@
 from attrs import define, field, frozen
 from benchmarks.budget_fleet import Fleet, Work
 
-from endivegw.budgets import KeeperOptions, read_budgets, top_up
+from endivegw.budgets import BudgetOptions, read_budgets, top_up
 from endivegw.budgets.reconcile import read_bill, reconcile
 from endivegw.budgets.rows import budget_row_key
 from endivegw.budgets.sizing import (
@@ -167,7 +167,7 @@
 
     async def play(self):
         """Run to the end and return the row of results."""
-        options = KeeperOptions(policy=POLICIES[self.cell.policy])
+        options = BudgetOptions(policy=POLICIES[self.cell.policy])
         async with anyio.create_task_group() as tasks:
             self.fleet = Fleet(
                 tasks,
@@ -271,7 +271,8 @@
         """Return what no reservation holds, in the table and at all routers."""
         row = self.fleet.table.get(budget_row_key(budget))
         return row.fields["available"] + sum(
-            router.keeper.tokens_in_hand(budget) for router in self.fleet.live_routers()
+            router.budget_manager.free_tokens_of(budget)
+            for router in self.fleet.live_routers()
         )
 
     async def _sample(self):
@@ -286,7 +287,7 @@
                 ]
             busy = 0
             for router in self.fleet.live_routers():
-                for wallet in router.keeper.wallets():
+                for wallet in router.budget_manager.wallets():
                     busy += wallet.reserved_tokens + wallet.consumed_tokens
             self.tally.stranded.append(max(granted - busy, 0))
 
@@ -348,7 +349,7 @@
         fresh.faults.away = router.faults.away
         await anyio.sleep(GONE_AFTER_S)
         if sidecar is not None:
-            sidecar.gone_at_s = self.fleet.clock()
+            sidecar.terminated_at_s = self.fleet.clock()
             self.fleet.add_sidecar(sidecar.target)
         await self._recover(router)
         fresh.faults.away = False
@@ -376,7 +377,7 @@
         await anyio.sleep(60)
         for router in self.fleet.live_routers():
             with anyio.move_on_after(120):
-                await router.keeper.close(self.fleet.clock())
+                await router.budget_manager.close(self.fleet.clock())
         for router in self.fleet.routers:
             await self.fleet.recover(router.instance_id, within_s=120)
         wrote_off, unsettled, unbilled = await self._books()
--- a/src/endivegw/budgets/__init__.py
+++ b/src/endivegw/budgets/__init__.py
@@ -1,24 +1,28 @@
-"""Prepaid budgets: escrowed grants, reservations, sealing, billing."""
+"""Prepaid budgets: escrowed grants, reservations, sealing and billing."""
 
 from endivegw.budgets.bills import BillLine
 from endivegw.budgets.escrow import read_budgets, top_up
-from endivegw.budgets.keeper import BudgetKeeper
 from endivegw.budgets.ledger import GrantLedger, GrantUse, SealedGrant
-from endivegw.budgets.options import KeeperOptions
-from endivegw.budgets.transfer import TransferAsk, TransferOffer, TransferPort
+from endivegw.budgets.manager import BudgetManager
+from endivegw.budgets.options import BudgetOptions
+from endivegw.budgets.transfer import (
+    TokenTransferPort,
+    TokenTransferRequest,
+    TokenTransferResponse,
+)
 from endivegw.budgets.wallet import Reservation
 
 __all__ = [
     "BillLine",
-    "BudgetKeeper",
+    "BudgetManager",
     "GrantLedger",
     "GrantUse",
-    "KeeperOptions",
+    "BudgetOptions",
     "Reservation",
     "SealedGrant",
-    "TransferAsk",
-    "TransferOffer",
-    "TransferPort",
+    "TokenTransferRequest",
+    "TokenTransferResponse",
+    "TokenTransferPort",
     "read_budgets",
     "top_up",
 ]
--- a/src/endivegw/budgets/accounts.py
+++ b/src/endivegw/budgets/accounts.py
@@ -1,6 +1,4 @@
-"""The budgets that a router has in hand, who waits for their tokens, and when
-to look at each of them again.
-"""
+"""Track the budgets of one router, their waiting requests and their next checks."""
 
 from __future__ import annotations
 
@@ -10,18 +8,18 @@
 import anyio
 from attrs import define, field
 
-from endivegw.budgets.bills import LineQueue
+from endivegw.budgets.bills import BillQueue
 from endivegw.budgets.rows import HolderId, grant_id_of, grant_number_of
 from endivegw.budgets.wallet import BudgetWallet, GrantChange, Reservation
 from endivegw.results import Refused
 from endivegw.types import AttemptId, BudgetKey, GrantId
 
-__all__ = ["Account", "AccountBook", "Waiter"]
+__all__ = ["Account", "AccountRegistry", "Waiter"]
 
 
 @define(eq=False)
 class Waiter:
-    """Hold one request that waits for tokens."""
+    """Represent one request that waits for tokens."""
 
     reservation_id: AttemptId
     bound_tokens: int
@@ -31,70 +29,74 @@
 
 @define(eq=False)
 class Account:
-    """Hold one budget's wallet and who waits for it.
+    """Hold the wallet of one budget and the queue of requests that wait for it.
 
-    :ivar exhausted: whether the table had less left than the first waiter
-        needs when it was last read.
-    :ivar borrow_after_s: peers are not asked again before.
-    :ivar next_look_s: when to look at it without being told to.
+    :ivar exhausted: whether the table, when it was last read, had too few tokens left
+        for a waiting request.
+    :ivar borrow_retry_at_s: time before which peers are not asked for tokens again.
+    :ivar next_check_s: when the account is checked next unless it is marked as due
+        earlier.
     """
 
     wallet: BudgetWallet
     waiters: list[Waiter] = field(factory=list)
     exhausted: bool = False
     borrowing: bool = False
-    borrow_after_s: float = 0.0
-    next_look_s: float | None = None
+    borrow_retry_at_s: float = 0.0
+    next_check_s: float | None = None
 
-    def join(self, waiter: Waiter) -> None:
-        """Queue a waiter behind the others."""
+    def enqueue(self, waiter: Waiter) -> None:
+        """Append a waiter to the queue."""
         self.waiters.append(waiter)
-        self._count_wanted()
+        self._update_wanted_tokens()
 
-    def leave(self, waiter: Waiter) -> None:
-        """Take a waiter out of the queue."""
+    def dequeue(self, waiter: Waiter) -> None:
+        """Remove a waiter from the queue."""
         self.waiters.remove(waiter)
-        self._count_wanted()
+        self._update_wanted_tokens()
 
-    def _count_wanted(self) -> None:
+    def _update_wanted_tokens(self) -> None:
         bounds = [waiter.bound_tokens for waiter in self.waiters]
         self.wallet.wanted_tokens = sum(bounds)
         self.wallet.smallest_wanted_tokens = min(bounds, default=0)
 
-    def serve(self, now_s: float) -> None:
-        """Hand free tokens to who waits, in order; small ones may pass large.
+    def serve_waiters(self, now_s: float) -> None:
+        """Reserve free tokens for waiting requests, in order of arrival.
 
-        Keeping the order strictly would refuse small requests near the end of a
-        budget for the sake of a large one that cannot be served either.
+        A small request may overtake a larger one that does not fit. Strict order would
+        refuse small requests near the end of a budget in favour of a large one that
+        cannot be served either.
         """
         for waiter in list(self.waiters):
-            taken = self.wallet.take(waiter.reservation_id, waiter.bound_tokens, now_s)
-            if taken is not None:
-                self.answer(waiter, taken)
-
-    def answer(self, waiter: Waiter, result: Reservation | Refused) -> None:
-        """Let a waiter go on with its result."""
-        self.leave(waiter)
+            reservation = self.wallet.reserve(
+                waiter.reservation_id, waiter.bound_tokens, now_s
+            )
+            if reservation is not None:
+                self.complete(waiter, reservation)
+
+    def complete(self, waiter: Waiter, result: Reservation | Refused) -> None:
+        """Remove a waiter from the queue and wake it with its result."""
+        self.dequeue(waiter)
         waiter.result = result
         waiter.done.set()
 
 
-class AccountBook:
-    """Hold all budgets of one router.
+class AccountRegistry:
+    """Hold all budgets that one router uses.
 
-    With 99,000 budgets in the fleet a router meets hundreds, and looking at all
-    of them each second would cost more than control may. Only those that were
-    touched, or whose time has come, are looked at.
+    A fleet may have 99,000 budgets, of which a router uses hundreds. Checking all of
+    them every second would exceed the overhead allowed for control work, so only
+    accounts that are marked as due or whose scheduled time has come are checked.
 
-    :ivar lines: bill records on their way to the table.
+    :ivar bill_queue: bill records that are not yet written to the table.
     """
 
     def __init__(self) -> None:
-        self.lines = LineQueue()
+        self.bill_queue = BillQueue()
         self._accounts: dict[BudgetKey, Account] = {}
-        self._touched: set[BudgetKey] = set()
+        self._due: set[BudgetKey] = set()
         self._open_numbers: set[int] = set()
-        self._timed: list[tuple[float, BudgetKey]] = []
+        self._scheduled: list[tuple[float, BudgetKey]] = []
 
     def __iter__(self) -> Iterator[Account]:
         return iter(list(self._accounts.values()))
@@ -103,57 +105,57 @@
         return len(self._accounts)
 
     def find(self, budget: BudgetKey) -> Account | None:
-        """Return a budget's account, None where the router has none."""
+        """Return the account of a budget, or None if the router has none."""
         return self._accounts.get(budget)
 
     def get(self, budget: BudgetKey) -> Account:
-        """Return a budget's account, made on first use."""
+        """Return the account of a budget, creating it on first use."""
         account = self._accounts.get(budget)
         if account is None:
             account = Account(BudgetWallet(budget))
             self._accounts[budget] = account
         return account
 
-    def touch(self, account: Account) -> None:
-        """Look at a budget in the next round."""
-        self._touched.add(account.wallet.budget)
-
-    def look_again(self, account: Account, at_s: float) -> None:
-        """Look at a budget at a time, unless something happens to it before."""
-        account.next_look_s = at_s
-        heapq.heappush(self._timed, (at_s, account.wallet.budget))
-
-    def take_due(self, now_s: float) -> list[Account]:
-        """Return the budgets to look at now, each once."""
-        due = self._touched
-        self._touched = set()
-        while self._timed and self._timed[0][0] <= now_s:
-            at_s, budget = heapq.heappop(self._timed)
+    def mark_due(self, account: Account) -> None:
+        """Check an account in the next round."""
+        self._due.add(account.wallet.budget)
+
+    def schedule_check(self, account: Account, at_s: float) -> None:
+        """Check an account at the given time, or earlier if it is marked as due."""
+        account.next_check_s = at_s
+        heapq.heappush(self._scheduled, (at_s, account.wallet.budget))
+
+    def pop_due(self, now_s: float) -> list[Account]:
+        """Return the accounts to check now, each once, and clear their due marks."""
+        due = self._due
+        self._due = set()
+        while self._scheduled and self._scheduled[0][0] <= now_s:
+            at_s, budget = heapq.heappop(self._scheduled)
             account = self._accounts.get(budget)
-            if account is not None and account.next_look_s == at_s:
+            if account is not None and account.next_check_s == at_s:
                 due.add(budget)
         found = (self._accounts.get(budget) for budget in sorted(due))
         return [account for account in found if account is not None]
 
     def closed_below(self, next_number: int) -> int:
-        """Return the number below which all own grants are closed.
+        """Return the number below which all grants of this holder are closed.
 
-        :param next_number: of the grant that would be opened next.
+        :param next_number: number of the grant that would be opened next.
         """
         return min(self._open_numbers, default=next_number)
 
-    def opened(self, grant_id: GrantId) -> None:
-        """Take in that an own grant is written, or about to be."""
+    def record_opened(self, grant_id: GrantId) -> None:
+        """Record that the row of a grant of this holder is written or about to be."""
         self._open_numbers.add(grant_number_of(grant_id))
 
-    def closed(self, grant_id: GrantId) -> None:
-        """Take in that an own grant's row is gone."""
+    def record_closed(self, grant_id: GrantId) -> None:
+        """Record that the row of a grant of this holder is deleted."""
         self._open_numbers.discard(grant_number_of(grant_id))
 
-    def stuck(self, holder: HolderId, before_s: float) -> tuple[GrantId, ...]:
-        """Return own grants of which only what was lent, or sealed, is open.
+    def find_stranded(self, holder: HolderId, before_s: float) -> tuple[GrantId, ...]:
+        """Return grants of this holder whose open tokens are only lent or sealed ones.
 
-        :param before_s: those opened after this are left alone.
+        :param before_s: held grants that were opened at or after this time are skipped.
         """
         held = {
             grant.grant_id: grant
@@ -170,32 +172,34 @@
                 found.append(grant_id)
         return tuple(found)
 
-    def recovered(self, grant_id: GrantId) -> None:
-        """Take in that nothing of an own grant is open in the table any more."""
+    def record_recovered(self, grant_id: GrantId) -> None:
+        """Record that recovery has closed a grant of this holder in the table."""
         for account in self._accounts.values():
             account.wallet.grants.pop(grant_id, None)
-        self.closed(grant_id)
+        self.record_closed(grant_id)
 
-    def forget_grants(self) -> None:
-        """Begin anew under another holder's name."""
+    def clear_open_grants(self) -> None:
+        """Forget the open grants before the router draws as a new holder."""
         self._open_numbers.clear()
 
-    def forget(self, account: Account) -> None:
-        """Drop a budget of which nothing is in hand."""
+    def remove(self, account: Account) -> None:
+        """Remove an account that holds no tokens and no reservations."""
         del self._accounts[account.wallet.budget]
 
     def seal(self, grant_id: GrantId) -> None:
-        """Drop a grant that recovery took over, wherever it is in hand."""
+        """Seal a grant that recovery took over in every wallet that holds it."""
         for account in list(self._accounts.values()):
             if grant_id in account.wallet.grants:
-                left_tokens = account.wallet.seal(grant_id)
-                self.lines.settled_by_recovery(account.wallet.budget, left_tokens)
-                self.touch(account)
-
-    def undo(self, change: GrantChange, now_s: float) -> None:
-        """Put back what a write that did not take effect had moved out."""
+                recovered_tokens = account.wallet.seal(grant_id)
+                self.bill_queue.record_settled_by_recovery(
+                    account.wallet.budget, recovered_tokens
+                )
+                self.mark_due(account)
+
+    def roll_back(self, change: GrantChange, now_s: float) -> None:
+        """Restore the tokens that a write without effect had debited."""
         account = self.get(change.budget)
-        left_tokens = account.wallet.apply_void(change)
-        self.lines.settled_by_recovery(change.budget, left_tokens)
-        account.serve(now_s)
-        self.touch(account)
+        recovered_tokens = account.wallet.roll_back(change)
+        self.bill_queue.record_settled_by_recovery(change.budget, recovered_tokens)
+        account.serve_waiters(now_s)
+        self.mark_due(account)
--- a/src/endivegw/budgets/batch.py
+++ b/src/endivegw/budgets/batch.py
@@ -1,8 +1,7 @@
-"""One write of a router to the table: draws, settlements, returns, bill lines.
+"""Build the transaction of one write: draws, settlements, returns and bill lines.
 
-A hot router has many budgets to draw and settle at the same moment. One
-transaction carries them all, so that a router costs the table about one write
-a second whatever its load is.
+A busy router has many budgets to draw on and settle at the same time. One transaction
+carries them all, so that a router costs the table about one write a second at any load.
 """
 
 from __future__ import annotations
@@ -27,9 +26,9 @@
 
 @frozen
 class BilledChunk:
-    """Hold one row of bill lines.
+    """Represent one row of bill lines.
 
-    :param body: the records as text.
+    :param body: the encoded records.
     """
 
     key: RowKey
@@ -39,12 +38,12 @@
 
 @frozen
 class Batch:
-    """Hold everything that one write carries.
+    """Represent everything that one write carries.
 
-    :param operation_id: chosen before the write; a lost answer is resolved by
-        reading it back from the holder's row.
-    :param drawers: changes of how many holders draw on a budget.
-    :param closed_below: all grants with lower numbers were closed before.
+    :param operation_id: chosen before the write. If the answer is lost, the outcome is
+        resolved by comparing this id with the one in the holder's row.
+    :param drawers: changes, by budget, of the number of holders with a grant of it.
+    :param closed_below: all grants of the holder with lower numbers were closed before.
     """
 
     operation_id: str
@@ -62,7 +61,7 @@
     closed_below: int,
     now_s: float,
 ) -> Put:
-    """Return the write that orders, dedups and fences all others of a holder."""
+    """Return the write that orders, deduplicates and fences the writes of a holder."""
     fields: dict[str, RowValue] = {
         "instance_id": instance_id,
         "operation": operation_id,
@@ -86,7 +85,7 @@
         return Put(key, fields, 0)
     if change.closes_version is not None:
         return Delete(key, change.closes_version)
-    leaving_tokens = change.settle_tokens + change.give_back_tokens
+    leaving_tokens = change.settle_tokens + change.return_tokens
     deltas = {
         "tokens": change.draw_tokens - leaving_tokens,
         "settled": change.settle_tokens,
@@ -97,23 +96,23 @@
 def _budget_write(
     budget: BudgetKey, changes: Iterable[GrantChange], drawers: int
 ) -> Add:
-    draw_tokens = settle_tokens = give_back_tokens = 0
+    draw_tokens = settle_tokens = return_tokens = 0
     for change in changes:
         draw_tokens += change.draw_tokens
         settle_tokens += change.settle_tokens
-        give_back_tokens += change.give_back_tokens
-    granted_delta = draw_tokens - settle_tokens - give_back_tokens
+        return_tokens += change.return_tokens
+    granted_delta = draw_tokens - settle_tokens - return_tokens
     deltas = {
-        "available": give_back_tokens - draw_tokens,
+        "available": return_tokens - draw_tokens,
         "granted": granted_delta,
         "settled": settle_tokens,
     }
     if drawers:
         deltas["drawers"] = drawers
-    # The table itself refuses what would overspend: a draw beyond what is left,
-    # and a settlement beyond what was granted.
+    # The table refuses whatever would overspend: a draw of more than is available and a
+    # settlement of more than was granted.
     minimums = {
-        "available": max(draw_tokens - give_back_tokens, 0),
+        "available": max(draw_tokens - return_tokens, 0),
         "granted": max(-granted_delta, 0),
     }
     return Add(budget_row_key(budget), deltas, minimums)
@@ -128,7 +127,7 @@
 ) -> Transaction:
     """Return the transaction of a batch.
 
-    :param version: of the holder's row as last written by it.
+    :param version: version of the holder's row as this holder last wrote it.
     """
     writes: list[Write] = [
         holder_put(
--- a/src/endivegw/budgets/bills.py
+++ b/src/endivegw/budgets/bills.py
@@ -1,10 +1,10 @@
-"""Bill lines: exactly one for each request, batched into the table.
+"""Bill lines: exactly one for each request, written to the table in batches.
 
-At 3,900 requests a second a row for each line would need ten times the writes
-that the table carries. The lines of one router are put together into one row
-every few seconds, in the transaction that settles exactly their tokens: what was
-settled and what was billed cannot part when the router dies between the two, and
-a repeated write adds nothing.
+At 3,900 requests per second, one row per line would need ten times the writes that the
+table can carry. The lines of a router are therefore combined into one row every few
+seconds, written in the transaction that settles exactly their tokens. Settled and
+billed tokens cannot diverge if the router dies between the two, and a repeated write
+adds nothing.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     "BillKind",
     "BillLine",
     "BillRecord",
-    "LineQueue",
+    "BillQueue",
     "chunk_key",
     "decode_chunk",
     "encode_chunk",
@@ -36,11 +36,11 @@
 
 BILL_PARTITION = "bill"
 
-#: Lines in one row. At about 150 bytes a line this stays under 100 KB, a quarter
-#: of what the common table services allow for a row.
+#: Maximum lines in one row. At about 150 bytes a line, a row stays under 100 KB, a
+#: quarter of the row size that common table services allow.
 MAX_CHUNK_LINES = 600
 
-#: How many identities are kept to notice a second line for a request.
+#: How many request identities are remembered to detect a second line.
 _MAX_IDENTITIES = 50_000
 
 _SECONDS_PER_HOUR = 3600
@@ -48,13 +48,13 @@
 
 @frozen
 class BillLine:
-    """Hold the one line of one request, whatever became of it on the way.
+    """Represent the single bill line of one request, whatever its outcome.
 
-    Its tokens are those that :meth:`BudgetKeeper.finish` was told of for its
-    attempts; tokens of a held attempt that is resolved later get a record of
-    their own.
+    Its tokens are those passed to :meth:`BudgetManager.finish` for the attempts of the
+    request. Tokens of a held attempt that is resolved later get a record of their own.
 
-    :param lost_tokens: consumed by attempts whose answer was not the one given.
+    :param lost_tokens: consumed by attempts whose answer was not delivered to the
+        caller.
     """
 
     identity: RequestIdentity
@@ -67,32 +67,33 @@
 
     @property
     def charged_tokens(self) -> int:
-        """Return what the budget is charged for the request."""
+        """Return how many tokens the budget is charged for the request."""
         return self.prompt_tokens + self.completion_tokens + self.lost_tokens
 
 
 class BillKind(enum.Enum):
-    """What a record stands for."""
+    """Enumerate the reasons for a bill record."""
 
-    #: The one line of a request.
+    #: The single line of a request.
     REQUEST = "request"
-    #: A held attempt that was resolved after its request's line.
+    #: A held attempt that was resolved after the line of its request was written.
     RESOLVED = "resolved"
-    #: Consumed under a dead router's grant, collected from the sidecars.
+    #: Consumed under the grant of a dead router, as reported by the sidecars.
     RECOVERED = "recovered"
-    #: Charged without proof of consumption: the sidecar that knew is gone.
+    #: Charged without proof of consumption because the sidecar that counted it is lost.
     WRITTEN_OFF = "written-off"
-    #: Consumed by an attempt whose request got no line until a planned stop.
+    #: Consumed by an attempt whose request had no line when the router stopped.
     UNBILLED = "unbilled"
 
 
 @frozen
 class BillRecord:
-    """Hold one record of the bill as it is kept.
+    """Represent one stored record of the bill.
 
-    :param name: the request's key, the attempt or the grant, by kind.
-    :param charged_tokens: what this record settles. Less than a request
-        consumed where recovery has settled a part under the grant's name.
+    :param name: idempotency key of the request, id of the attempt or id of the grant,
+        depending on the kind.
+    :param charged_tokens: tokens that this record settles. Fewer than a request
+        consumed if recovery has settled a part under the id of the grant.
     """
 
     kind: BillKind
@@ -107,7 +108,7 @@
 
 
 def record_of_line(line: BillLine) -> BillRecord:
-    """Return the record of a request's line."""
+    """Return the bill record of a request's line."""
     return BillRecord(
         kind=BillKind.REQUEST,
         budget=line.budget,
@@ -149,26 +150,26 @@
 
 
 def decode_chunk(row: Row) -> tuple[BillRecord, ...]:
-    """Return the records of a row."""
+    """Return the bill records of a row."""
     return tuple(_decode(line) for line in str(row.fields["lines"]).split("\n"))
 
 
 def hour_prefix(at_s: float) -> str:
-    """Return what the sort keys of an hour's rows begin with."""
+    """Return the prefix of the sort keys of rows written in an hour."""
     return f"{int(at_s) // _SECONDS_PER_HOUR:08d}"
 
 
 def chunk_key(writer: str, number: int, at_s: float) -> RowKey:
-    """Return the key of a row of bill records, in order of the hour written."""
+    """Return the key of a row of bill records, sorted by the hour it is written."""
     return RowKey(BILL_PARTITION, f"{hour_prefix(at_s)}/{writer}/{number:08d}")
 
 
 @frozen
 class BillDraft:
-    """Hold the records of the next row and what they settle.
+    """Represent the records of the next row and the tokens they settle.
 
     :param settle_tokens: by budget, the sum of the records.
-    :param recovered_tokens: by budget, what recovery has settled in their place.
+    :param recovered_tokens: by budget, tokens that recovery has settled instead.
     """
 
     records: tuple[BillRecord, ...]
@@ -176,11 +177,11 @@
     recovered_tokens: Mapping[BudgetKey, int]
 
 
-class LineQueue:
-    """Hold records until they are in the table, and notice a second line.
+class BillQueue:
+    """Queue records until they are in the table, and reject duplicate lines.
 
-    Two lines for one request would charge a caller twice for one answer; the
-    second is refused before it is queued.
+    Two lines for one request would charge a caller twice for one answer, so the second
+    one is refused before it is queued.
     """
 
     def __init__(self) -> None:
@@ -193,9 +194,9 @@
         return len(self._waiting)
 
     def add_line(self, line: BillLine, now_s: float) -> None:
-        """Queue a request's line.
+        """Queue the line of a request.
 
-        :raises InvariantError: where the request has a line already.
+        :raises InvariantError: if the request already has a line.
         """
         if line.identity in self._identities:
             raise InvariantError(f"request {line.identity} would be billed twice")
@@ -210,20 +211,22 @@
             self.oldest_at_s = now_s
         self._waiting.append(record)
 
-    def settled_by_recovery(self, budget: BudgetKey, tokens: int) -> None:
-        """Charge that much less on this budget's lines.
+    def record_settled_by_recovery(self, budget: BudgetKey, tokens: int) -> None:
+        """Reduce the tokens charged by the lines of a budget.
 
-        Recovery, which knows grants and not requests, bills the tokens under
-        the grant's name; on a line as well they would be charged twice.
+        Recovery works on grants rather than requests and bills the tokens under the id
+        of the grant. Charging them on a line as well would bill them twice.
         """
         if tokens:
             self._recovered[budget] = self._recovered.get(budget, 0) + tokens
 
-    def draft(self, room_items: int, items_of: Callable[[BudgetKey], int]) -> BillDraft:
-        """Return what the next row holds.
+    def draft(
+        self, max_items: int, max_items_of: Callable[[BudgetKey], int]
+    ) -> BillDraft:
+        """Return the records of the next row.
 
-        :param room_items: how many rows the same write may touch.
-        :param items_of: how many rows it touches to settle a budget.
+        :param max_items: how many rows of the transaction may be used.
+        :param max_items_of: returns how many rows settling a budget may use.
         """
         records: list[BillRecord] = []
         settle: dict[BudgetKey, int] = {}
@@ -231,24 +234,24 @@
         for record in self._waiting[:MAX_CHUNK_LINES]:
             budget = record.budget
             if budget not in settle:
-                room_items -= items_of(budget)
-                if room_items < 0 and settle:
+                max_items -= max_items_of(budget)
+                if max_items < 0 and settle:
                     break
-            left_tokens = self._recovered.get(budget, 0) - recovered.get(budget, 0)
-            less_tokens = min(record.charged_tokens, left_tokens)
-            charged_tokens = record.charged_tokens - less_tokens
-            recovered[budget] = recovered.get(budget, 0) + less_tokens
+            remaining_tokens = self._recovered.get(budget, 0) - recovered.get(budget, 0)
+            deducted_tokens = min(record.charged_tokens, remaining_tokens)
+            charged_tokens = record.charged_tokens - deducted_tokens
+            recovered[budget] = recovered.get(budget, 0) + deducted_tokens
             settle[budget] = settle.get(budget, 0) + charged_tokens
             records.append(evolve(record, charged_tokens=charged_tokens))
         return BillDraft(tuple(records), settle, recovered)
 
-    def written(self, draft: BillDraft, now_s: float) -> None:
-        """Drop records that are in the table."""
+    def mark_written(self, draft: BillDraft, now_s: float) -> None:
+        """Remove records that are now in the table."""
         del self._waiting[: len(draft.records)]
         for budget, tokens in draft.recovered_tokens.items():
-            left_tokens = self._recovered.get(budget, 0) - tokens
-            if left_tokens > 0:
-                self._recovered[budget] = left_tokens
+            remaining_tokens = self._recovered.get(budget, 0) - tokens
+            if remaining_tokens > 0:
+                self._recovered[budget] = remaining_tokens
             else:
                 self._recovered.pop(budget, None)
         self.oldest_at_s = now_s if self._waiting else None
--- a/src/endivegw/budgets/borrower.py
+++ b/src/endivegw/budgets/borrower.py
@@ -1,4 +1,4 @@
-"""Borrow tokens from peers where the table has none or does not answer."""
+"""Borrow tokens from peers if the table has none or does not answer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 import anyio
 
 from endivegw.budgets.accounts import Account
-from endivegw.budgets.transfer import TransferAsk, TransferOffer, TransferPort
+from endivegw.budgets.transfer import (
+    TokenTransferPort,
+    TokenTransferRequest,
+    TokenTransferResponse,
+)
 from endivegw.results import Done, Unknown
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue import budgets as events
@@ -16,29 +20,30 @@
 
 __all__ = ["Borrower"]
 
-#: Peers asked for one shortage. With a hot budget each router has tokens and
-#: the first answers; with a cold one more asking costs more than it finds.
-_PEERS_ASKED = 4
+#: Maximum number of peers asked for one shortage. For a busy budget every router holds
+#: tokens and the first peer usually has some; for a rarely used one, further requests
+#: cost more than they find.
+_MAX_PEERS = 4
 
-#: How often an ask whose answer was lost is repeated with the same id. After
-#: that the tokens, if there were any, lie with the donor's grant until recovery.
-_ASK_TRIES = 3
+#: How often a request is sent with the same id if its answer is lost. After that, any
+#: debited tokens stay with the donor's grant until it is recovered.
+_MAX_REQUEST_ATTEMPTS = 3
 
-#: Pause after peers had too little. A budget that is used up by all would cost
-#: each of its requests some asks else.
-_FRUITLESS_WAIT_S = 1.0
+#: Pause after peers had too few tokens. Without it, each request for an exhausted
+#: budget would cause several requests to peers.
+_RETRY_COOLDOWN_S = 1.0
 
-#: Borrow for this many seconds of demand at once, so that a long outage does
-#: not turn each request into an ask.
+#: Seconds of demand to borrow at once, so that a long outage does not cause one
+#: transfer per request.
 _BORROW_AHEAD_S = 10.0
 
 
 class Borrower:
-    """Ask peers, one shortage of one budget at a time."""
+    """Request tokens from peers, one shortage per budget at a time."""
 
     def __init__(
         self,
-        peers: TransferPort,
+        peers: TokenTransferPort,
         clock: Callable[[], float],
         rng: random.Random,
         log: EventLog,
@@ -51,61 +56,68 @@
         self._timeout_s = timeout_s
 
     async def borrow(self, account: Account) -> None:
-        """Ask some peers until who waits is served; nothing where nobody does."""
+        """Request tokens from several peers until no request waits."""
         if account.borrowing:
             return
         account.borrowing = True
         try:
-            await self._ask_in_turn(account)
+            await self._request_from_peers(account)
         finally:
             account.borrowing = False
             if account.waiters:
-                account.borrow_after_s = self._clock() + _FRUITLESS_WAIT_S
+                account.borrow_retry_at_s = self._clock() + _RETRY_COOLDOWN_S
 
-    async def _ask_in_turn(self, account: Account) -> None:
+    async def _request_from_peers(self, account: Account) -> None:
         names = list(self._peers.peers())
         self._rng.shuffle(names)
-        for peer in names[:_PEERS_ASKED]:
+        for peer in names[:_MAX_PEERS]:
             wallet = account.wallet
-            short_tokens = wallet.wanted_tokens - wallet.free_tokens
-            if not account.waiters or short_tokens <= 0:
+            missing_tokens = wallet.wanted_tokens - wallet.free_tokens
+            if not account.waiters or missing_tokens <= 0:
                 return
-            rate = wallet.demand.rate_tokens_per_s(self._clock())
-            wish = TransferAsk(
+            rate_tokens_per_s = wallet.demand.rate_tokens_per_s(self._clock())
+            request = TokenTransferRequest(
                 TransferId(f"{self._rng.getrandbits(96):024x}"),
                 wallet.budget,
-                short_tokens + int(rate * _BORROW_AHEAD_S),
+                missing_tokens + int(rate_tokens_per_s * _BORROW_AHEAD_S),
+            )
+            response = await self._request(peer, request)
+            if response is not None and response.tokens > 0:
+                self._credit(account, request, response)
+
+    async def _request(
+        self, peer: InstanceId, request: TokenTransferRequest
+    ) -> TokenTransferResponse | None:
+        for _ in range(_MAX_REQUEST_ATTEMPTS):
+            result = await self._peers.transfer(
+                peer, request, timeout_s=self._timeout_s
             )
-            offer = await self._ask(peer, wish)
-            if offer is not None and offer.tokens > 0:
-                self._credit(account, wish, offer)
-
-    async def _ask(self, peer: InstanceId, wish: TransferAsk) -> TransferOffer | None:
-        for _ in range(_ASK_TRIES):
-            result = await self._peers.ask(peer, wish, timeout_s=self._timeout_s)
             match result:
-                case Done(offer):
-                    return offer
+                case Done(response):
+                    return response
                 case Unknown():
-                    # The donor answers a repeated id as before, so the tokens
-                    # are debited and credited once.
+                    # The donor repeats its response to a known id, so the tokens are
+                    # debited and credited once.
                     await anyio.sleep(0)
                 case _:
                     return None
         return None
 
     def _credit(
-        self, account: Account, wish: TransferAsk, offer: TransferOffer
+        self,
+        account: Account,
+        request: TokenTransferRequest,
+        response: TokenTransferResponse,
     ) -> None:
-        if offer.transfer_id != wish.transfer_id:
+        if response.transfer_id != request.transfer_id:
             return
         now_s = self._clock()
-        account.wallet.borrow(offer.grant_id, offer.tokens, now_s)
+        account.wallet.borrow(response.grant_id, response.tokens, now_s)
         self._log.emit(
             events.TOKENS_BORROWED,
-            budget=str(wish.budget),
-            transfer_id=offer.transfer_id,
-            grant_id=offer.grant_id,
-            tokens=offer.tokens,
+            budget=str(request.budget),
+            transfer_id=response.transfer_id,
+            grant_id=response.grant_id,
+            tokens=response.tokens,
         )
-        account.serve(now_s)
+        account.serve_waiters(now_s)
--- a/src/endivegw/budgets/bound.py
+++ b/src/endivegw/budgets/bound.py
@@ -1,7 +1,7 @@
-"""The most tokens that one request may consume, without the engine's tokenizer.
+"""Bound the tokens that a request may consume without the engine's tokenizer.
 
-A bound that is too low lets an answer be cut; one that is too high refuses
-requests near the end of a budget and strands tokens while they run.
+A bound that is too low truncates answers; one that is too high refuses requests near
+the end of a budget and strands tokens while requests run.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
     "request_bound",
 ]
 
-#: What a chat template adds for each message: role, separators, end mark. The
-#: common templates use 3 to 7 tokens.
+#: Tokens that a chat template adds per message for the role, separators and end mark.
+#: Common templates use 3 to 7.
 CHAT_MESSAGE_TOKENS = 8
 
-#: What a prompt is wrapped in: begin mark, and for a chat the opening of the
-#: answer and the default system text's marks.
+#: Tokens that enclose the prompt: the begin mark and, for a chat, the start of the
+#: answer and the marks of the default system message.
 PROMPT_FRAME_TOKENS = 16
 
 
 @frozen
 class RequestBound:
-    """Hold a request's upper bound.
+    """Represent the upper bound of a request.
 
-    :param prompt_tokens: the engine never counts more for the prompt.
-    :param completion_tokens: where generation must stop.
+    :param prompt_tokens: the engine never counts more tokens for the prompt.
+    :param completion_tokens: generation must stop at this many tokens.
     """
 
     prompt_tokens: int
@@ -39,7 +39,7 @@
 
     @property
     def total_tokens(self) -> int:
-        """Return what to reserve."""
+        """Return how many tokens to reserve."""
         return self.prompt_tokens + self.completion_tokens
 
 
@@ -48,12 +48,12 @@
 ) -> int:
     """Return an upper bound of the prompt's tokens.
 
-    Tokenizers that fall back to bytes, as those of the engines at hand do, give
-    each byte of the text at most one token, and nothing less holds for every
-    text: rare scripts and random strings do reach one token a byte.
+    Tokenizers with byte fallback, which the supported engines use, produce at most one
+    token per byte of text. No lower bound holds for every text: rare scripts and random
+    strings do reach one token per byte.
 
     :param texts: the prompt, or the text of each message of a chat.
-    :param known_prompt_tokens: the engine's own count, where there is one.
+    :param known_prompt_tokens: the token count of the engine, if known.
     """
     if known_prompt_tokens is not None:
         return known_prompt_tokens
@@ -66,8 +66,8 @@
 ) -> int:
     """Return how many tokens may be generated for all choices together.
 
-    :param asked_tokens: what the caller set, None where it set nothing.
-    :param account_limit_tokens: the account's largest output for one choice.
+    :param asked_tokens: the limit set by the caller, or None.
+    :param account_limit_tokens: the account's maximum output per choice.
     """
     one_tokens = account_limit_tokens
     if asked_tokens is not None:
@@ -83,7 +83,7 @@
     choices: int = 1,
     known_prompt_tokens: int | None = None,
 ) -> RequestBound:
-    """Return what one attempt of a request may consume at most."""
+    """Return the maximum number of tokens that one attempt of a request may consume."""
     return RequestBound(
         prompt_bound_tokens(texts, known_prompt_tokens),
         completion_clamp_tokens(asked_tokens, account_limit_tokens, choices),
--- a/src/endivegw/budgets/checkpoint.py
+++ b/src/endivegw/budgets/checkpoint.py
@@ -1,7 +1,8 @@
-"""The rows in which a sidecar says that it exists and what its grants consumed.
+"""Rows that register a sidecar and store the use of its grants.
 
-Two rows, since recovery lists all sidecars and needs the use only of those that
-have ended: one small row that says that the sidecar exists, one with the use.
+A sidecar has two rows, because recovery lists all sidecars but needs the use only of
+those that have terminated: a small row registers the sidecar and another one holds the
+use.
 """
 
 from __future__ import annotations
@@ -30,21 +31,21 @@
 
 
 def ledger_row_key(sidecar: InstanceId) -> RowKey:
-    """Return the key of the row that says that a sidecar exists."""
+    """Return the key of the row that registers a sidecar."""
     return RowKey(LEDGER_PARTITION, sidecar)
 
 
 def uses_row_key(sidecar: InstanceId) -> RowKey:
-    """Return the key of the row with a sidecar's last checkpoint."""
+    """Return the key of the row with the last checkpoint of a sidecar."""
     return RowKey(USES_PARTITION, sidecar)
 
 
 @frozen
 class LedgerRow:
-    """Hold one sidecar's row as it was read.
+    """Represent the registration row of a sidecar as read from the table.
 
-    :param ended_at_s: when it ended, None while it may run work.
-    :param exact: whether its last checkpoint is final: it stopped as planned.
+    :param ended_at_s: when the sidecar terminated, or None while it may run work.
+    :param exact: whether its last checkpoint is final because it shut down as planned.
     """
 
     sidecar: InstanceId
@@ -55,7 +56,7 @@
 
     @classmethod
     def of(cls, row: Row) -> LedgerRow:
-        """Return the typed row."""
+        """Return the typed form of a row."""
         return cls(
             sidecar=InstanceId(row.key.sort),
             version=row.version,
@@ -68,7 +69,10 @@
 def ended_fields(
     target: TargetName, ended_at_s: int, exact: bool
 ) -> dict[str, RowValue]:
-    """Return the fields of the row of a sidecar; 0 while it has not ended."""
+    """Return the fields of a sidecar's registration row.
+
+    :param ended_at_s: 0 while the sidecar has not terminated.
+    """
     return {"target": target, "ended_at_s": ended_at_s, "exact": int(exact)}
 
 
@@ -80,15 +84,16 @@
     uses: tuple[GrantUse, ...],
     ended_at_s: int,
 ) -> Transaction:
-    """Return the write of a checkpoint.
+    """Return the transaction that writes a checkpoint.
 
-    It fails once recovery has taken the sidecar for gone, which tells a sidecar
-    that is not gone to admit nothing further. A copy that comes late fails as
-    well: it would put lower ceilings back than the sidecar uses.
+    It fails once recovery has marked the sidecar as terminated, upon which a sidecar
+    that still runs stops admitting work. A delayed duplicate fails as well, since it
+    would restore ceilings lower than those in use.
 
-    :param version: of the sidecar's row as last written by it, 0 before.
+    :param version: version of the registration row as this sidecar last wrote it, or 0
+        before the first write.
     :param uses_version: the same for the row of its uses.
-    :param ended_at_s: 0, or when the sidecar stopped as planned.
+    :param ended_at_s: 0, or the time of a planned shutdown.
     """
     key = ledger_row_key(sidecar)
     first: Write = Check(key, version)
@@ -101,8 +106,8 @@
 
 
 def _encode(uses: tuple[GrantUse, ...]) -> str:
-    # About 60 bytes a grant: 6,000 grants fit the 400 KB that the common table
-    # services allow for a row, and a sidecar meets a few hundred between closings.
+    # At about 60 bytes a grant, 6,000 grants fit into the 400 KB row size that common
+    # table services allow. A sidecar holds a few hundred open grants.
     values = [
         [
             use.grant_id,
@@ -117,7 +122,7 @@
 
 
 def decode_uses(row: Row | None) -> tuple[GrantUse, ...]:
-    """Return the grants of a checkpoint."""
+    """Return the uses of a checkpoint."""
     if row is None:
         return ()
     return tuple(
--- a/src/endivegw/budgets/escrow.py
+++ b/src/endivegw/budgets/escrow.py
@@ -1,10 +1,9 @@
-"""The table transactions of budgets, each resolved by an id chosen before it.
+"""Table transactions of budgets, resolved by an id chosen before the write.
 
-A lost answer leaves open whether a write took effect, and a delayed copy of it
-may still arrive much later. Without care a grant would be drawn twice, or
-tokens given back twice. All writes of a holder therefore go through one row
-whose version each of them expects and moves on by one: a copy that comes late
-finds another version and does nothing.
+If an answer is lost, it is unknown whether a write took effect, and a delayed copy of
+it may still arrive much later. Unhandled, this would draw a grant or return tokens
+twice. All writes of a holder therefore go through one row whose version each of them
+expects and increments by one: a delayed copy finds another version and has no effect.
 """
 
 from __future__ import annotations
@@ -32,26 +31,26 @@
 
 __all__ = ["CommitState", "HolderEscrow", "read_budgets", "read_grants", "top_up"]
 
-#: How often a top-up looks again before it reports what it found: racing
-#: operators conflict with each other only while the row is created.
-_TOP_UP_TRIES = 8
+#: Maximum attempts of a top-up before it reports an unknown outcome. Concurrent top-ups
+#: conflict with each other only while the budget's row is created.
+_MAX_TOP_UP_ATTEMPTS = 8
 
 
 class CommitState(enum.Enum):
-    """What is known of a batch after one more try to write it."""
+    """Describe what is known of a batch after another attempt to write it."""
 
-    #: It took effect.
+    #: The batch took effect.
     COMMITTED = "committed"
-    #: It did not, and never will.
-    VOID = "void"
-    #: Not known yet; the same batch must be tried again.
+    #: The batch did not take effect and never will.
+    ROLLED_BACK = "void"
+    #: The outcome is unknown; the same batch must be tried again.
     PENDING = "pending"
-    #: Recovery fenced the holder off; its grants are not its own any more.
+    #: Recovery fenced the holder off, which no longer owns its grants.
     FENCED = "fenced"
 
 
 class HolderEscrow:
-    """Write one holder's batches, one at a time, each exactly once."""
+    """Write the batches of one holder, one at a time, each exactly once."""
 
     def __init__(
         self,
@@ -73,13 +72,13 @@
         return self._version > 0
 
     def new_operation_id(self) -> str:
-        """Return an id for a batch, to be chosen before it is written."""
+        """Return an id for a batch, to be chosen before the batch is written."""
         return f"{self.holder}.{self._rng.getrandbits(64):016x}"
 
     async def commit(
         self, batch: Batch, *, timeout_s: float, now_s: float
     ) -> CommitState:
-        """Try once to write a batch, or to find out what became of it."""
+        """Try once to write a batch or to resolve the outcome of an earlier attempt."""
         if self._barrier_id is None:
             transaction = batch_transaction(
                 batch, self.holder, self._instance_id, self._version, now_s
@@ -91,19 +90,21 @@
                 case Refused(reason=Reason.CONFLICT):
                     self._barrier_id = self.new_operation_id()
                 case Refused(reason=Reason.BAD_REQUEST, detail=detail):
-                    raise InvariantError(f"malformed batch: {detail}")
+                    raise InvariantError(
+                        f"table rejected batch {batch.operation_id}: {detail}"
+                    )
                 case _:
                     return CommitState.PENDING
-        return await self._settle_doubt(batch, self._barrier_id, timeout_s, now_s)
+        return await self._resolve_outcome(batch, self._barrier_id, timeout_s, now_s)
 
-    async def _settle_doubt(
+    async def _resolve_outcome(
         self, batch: Batch, barrier_id: str, timeout_s: float, now_s: float
     ) -> CommitState:
-        """Move the holder's row on, so that no copy of the batch can come late.
+        """Increment the version of the holder's row to invalidate copies of the batch.
 
-        A conflict says that this copy did nothing. An earlier copy whose answer
-        was lost may have taken effect, or may still be on its way, and tokens
-        put back meanwhile would be given back a second time when it arrives.
+        A conflict means that this copy had no effect. An earlier copy whose answer was
+        lost may have taken effect or may still be in transit. Tokens released in the
+        meantime would be returned a second time when it arrives.
         """
         barrier = holder_put(
             self.holder,
@@ -120,7 +121,7 @@
             case Done():
                 self._version += 1
                 self._barrier_id = None
-                return CommitState.VOID
+                return CommitState.ROLLED_BACK
             case Refused(reason=Reason.CONFLICT):
                 return await self._read_back(batch, barrier_id, timeout_s)
         return CommitState.PENDING
@@ -139,12 +140,12 @@
         if found.sealed:
             return CommitState.FENCED
         if found.operation_id not in (batch.operation_id, barrier_id):
-            # Seen where a read is older than the write that conflicted.
+            # The read may return an older state than the write that conflicted.
             return CommitState.PENDING
         self._version = found.version
         self._barrier_id = None
         if found.operation_id == barrier_id:
-            return CommitState.VOID
+            return CommitState.ROLLED_BACK
         return CommitState.COMMITTED
 
     async def is_fenced(self, *, timeout_s: float) -> bool:
@@ -162,7 +163,7 @@
 async def read_budgets(
     table: TablePort, budgets: tuple[BudgetKey, ...], *, timeout_s: float
 ) -> Result[tuple[BudgetRow | None, ...]]:
-    """Return the budgets' rows, None for one that does not exist."""
+    """Return the rows of budgets, None for each that does not exist."""
     keys = tuple(budget_row_key(budget) for budget in budgets)
     result = await table.read(keys, timeout_s=timeout_s)
     if not isinstance(result, Done):
@@ -173,7 +174,7 @@
 async def read_grants(
     table: TablePort, grant_ids: tuple[GrantId, ...], *, timeout_s: float
 ) -> Result[tuple[GrantRow | None, ...]]:
-    """Return the grants' rows, None for one that does not exist."""
+    """Return the rows of grants, None for each that does not exist."""
     keys = tuple(grant_row_key(grant_id) for grant_id in grant_ids)
     result = await table.read(keys, timeout_s=timeout_s)
     if not isinstance(result, Done):
@@ -183,28 +184,35 @@
 
 @frozen
 class TopUp:
-    """Hold one top-up as the table knows it."""
+    """Represent one top-up as stored in the table."""
 
     budget: BudgetKey
     operation_id: str
     tokens: int
 
 
-def _top_up_writes(wish: TopUp, exists: bool, now_s: float) -> tuple[Write, ...]:
-    marker: dict[str, RowValue] = {"tokens": wish.tokens, "at_s": int(now_s)}
-    mark = Put(topup_row_key(wish.budget, wish.operation_id), marker, 0)
-    key = budget_row_key(wish.budget)
+def _top_up_writes(
+    top_up_request: TopUp, exists: bool, now_s: float
+) -> tuple[Write, ...]:
+    marker: dict[str, RowValue] = {"tokens": top_up_request.tokens, "at_s": int(now_s)}
+    marker_put = Put(
+        topup_row_key(top_up_request.budget, top_up_request.operation_id), marker, 0
+    )
+    key = budget_row_key(top_up_request.budget)
     if exists:
-        deltas = {"topped_up": wish.tokens, "available": wish.tokens}
-        return (mark, Add(key, deltas))
+        deltas = {
+            "topped_up": top_up_request.tokens,
+            "available": top_up_request.tokens,
+        }
+        return (marker_put, Add(key, deltas))
     fields: dict[str, RowValue] = {
-        "topped_up": wish.tokens,
-        "available": wish.tokens,
+        "topped_up": top_up_request.tokens,
+        "available": top_up_request.tokens,
         "granted": 0,
         "settled": 0,
         "drawers": 0,
     }
-    return (mark, Put(key, fields, 0))
+    return (marker_put, Put(key, fields, 0))
 
 
 async def top_up(
@@ -216,23 +224,23 @@
     timeout_s: float,
     now_s: float,
 ) -> Result[bool]:
-    """Add tokens to a budget, once for an operation id, creating it if needed.
+    """Add tokens to a budget once per operation id, creating the budget if needed.
 
-    :returns: done with True where this call added them, with False where the
-        same command had added them before; refused with ``KEY_CONFLICT`` where
-        the id was used with another amount; unknown where the table does not
-        answer: repeat with the same id.
-    :raises ValueError: unless the tokens are above 0.
+    :returns: done with True if this call added the tokens, or False if the same command
+        had added them before; refused with ``KEY_CONFLICT`` if the id was used with
+        another amount; unknown if the table does not answer, in which case the call can
+        be repeated with the same id.
+    :raises ValueError: unless the number of tokens is above 0.
     """
     if tokens <= 0:
-        raise ValueError(f"a top-up adds more than 0 tokens, not {tokens}")
-    wish = TopUp(budget, operation_id, tokens)
+        raise ValueError(f"top-up of {tokens} tokens must be greater than 0")
+    top_up_request = TopUp(budget, operation_id, tokens)
     keys: tuple[RowKey, ...] = (
         topup_row_key(budget, operation_id),
         budget_row_key(budget),
     )
     tried = False
-    for _ in range(_TOP_UP_TRIES):
+    for _ in range(_MAX_TOP_UP_ATTEMPTS):
         rows = await table.read(keys, timeout_s=timeout_s)
         if not isinstance(rows, Done):
             return Unknown(rows.reason, rows.detail) if tried else rows
@@ -244,9 +252,9 @@
                     f"operation {operation_id} added {marker.fields['tokens']} tokens",
                 )
             return Done(tried)
-        writes = _top_up_writes(wish, row is not None, now_s)
+        writes = _top_up_writes(top_up_request, row is not None, now_s)
         result = await table.transact(Transaction(writes), timeout_s=timeout_s)
         if isinstance(result, Done):
             return Done(True)
         tried = tried or isinstance(result, Unknown)
-    return Unknown(Reason.TIMEOUT, f"top-up {operation_id} is not known to be added")
+    return Unknown(Reason.TIMEOUT, f"outcome of top-up {operation_id} is unknown")
--- a/src/endivegw/budgets/gate.py
+++ b/src/endivegw/budgets/gate.py
@@ -1,10 +1,10 @@
-"""The sidecar's side of budgets: ask about holders, admit, write checkpoints.
+"""Admission of work at a sidecar: check holders, admit attempts, write checkpoints.
 
-A sidecar that was just started has forgotten every seal. A router that wakes up
-after its grants were settled would find it willing, and the tokens would be
-spent twice. So a sidecar first writes the row that says it exists and then asks
-the table about each holder; recovery first fences the holder off and then lists
-the sidecars. Whichever comes second sees the first.
+A restarted sidecar does not know which grants were sealed before. A router that resumes
+after its grants were settled could then spend the tokens a second time. A sidecar
+therefore first writes the row that registers it and then reads the row of each holder
+from the table, while recovery first fences the holder off and then lists the sidecars.
+Whichever of the two comes second sees the other.
 """
 
 from __future__ import annotations
@@ -35,26 +35,27 @@
 
 __all__ = ["GrantGate"]
 
-#: How often a sidecar writes what changed. 650 sidecars at this interval cost
-#: the table 22 writes a second.
+#: Interval between checkpoints of a sidecar. 650 sidecars at this interval cost the
+#: table 22 writes per second.
 CHECKPOINT_S = 30.0
 
-#: How often a sidecar reads its holders' rows, for grants to forget and for
-#: seals that did not reach it. 650 sidecars that know 50 routers each cost the
-#: table 108 reads a second.
-HOLDERS_S = 300.0
+#: Interval at which a sidecar reads the rows of its holders, to drop closed grants and
+#: to learn of seals that did not reach it. 650 sidecars that know 50 routers each cost
+#: the table 108 reads per second.
+HOLDER_REFRESH_S = 300.0
 
-#: Least time between two checkpoints of one sidecar that nothing waits for.
-_LEAST_GAP_S = 5.0
+#: Minimum time between two periodic checkpoints of one sidecar. Checkpoints that raise
+#: a ceiling are not delayed by it.
+_MIN_CHECKPOINT_GAP_S = 5.0
 
 _RETRY_S = 0.5
 _TIMEOUT_S = 1.0
 
 
 class GrantGate:
-    """Guard one target's ledger with what the table knows.
+    """Admit work to the ledger of one target, subject to the state of the table.
 
-    :ivar ledger: counts and seals; ``consume`` and ``end`` are called on it.
+    :ivar ledger: counts use and seals grants; callers use its ``consume`` and ``end``.
     """
 
     def __init__(
@@ -77,16 +78,16 @@
         self._checkpoint_s = checkpoint_s
         self._version = 0
         self._uses_version = 0
-        self._wanted: dict[GrantId, int] = {}
-        self._raising = anyio.Lock()
+        self._ceiling_requests: dict[GrantId, int] = {}
+        self._ceiling_lock = anyio.Lock()
         self._wake = anyio.Event()
         self._ended = False
         self._closing = False
-        self._asking: dict[HolderId, anyio.Event] = {}
+        self._holder_queries: dict[HolderId, anyio.Event] = {}
         self._lock = anyio.Lock()
 
     async def start(self) -> None:
-        """Write the row that says that this sidecar exists; tries until it is."""
+        """Write the row that registers this sidecar, retrying until it succeeds."""
         while not await self._write(ended=False):
             await anyio.sleep(_RETRY_S)
 
@@ -98,10 +99,11 @@
         reservation_tokens: int,
         now_s: float,
     ) -> Refused | None:
-        """Count an attempt in before it starts, or say why it must not run.
+        """Register an attempt before it starts, or return why it must not run.
 
-        :returns: None where it may start; refused with ``GRANT_SEALED``, or with
-            ``NOT_READY`` where the table cannot be asked about the holder.
+        :returns: None if the attempt may start; refused with ``GRANT_SEALED``, or with
+            ``NOT_READY`` if the state of the holder cannot be read from the table or
+            the ceiling of the grant cannot be raised.
         """
         refused = await self.ready_for(grant_id, budget, reservation_tokens)
         if refused is not None:
@@ -116,19 +118,20 @@
         budget: BudgetKey | None = None,
         reservation_tokens: int = 0,
     ) -> Refused | None:
-        """Ask the table about a grant's holder where it was not asked yet.
+        """Read the state of a grant's holder from the table if it is not known yet.
 
-        Raises the grant's ceiling as well where the reservation does not fit
-        below it.
+        Also raises the ceiling of the grant if the reservation does not fit below it.
 
-        :returns: why nothing can be admitted now, None where the ledger decides.
+        :returns: why nothing can be admitted now, or None if the ledger decides.
         """
         if self._version == 0:
-            return Refused(Reason.NOT_READY, "this sidecar is not registered")
+            return Refused(Reason.NOT_READY, "sidecar is not registered yet")
         if not self.ledger.knows_holder(grant_id):
-            await self._ask(holder_of(grant_id))
+            await self._query_holder(holder_of(grant_id))
         if self._ended or self._closing:
-            return Refused(Reason.NOT_READY, "this sidecar has ended")
+            return Refused(
+                Reason.NOT_READY, "sidecar has terminated or is shutting down"
+            )
         if self.ledger.is_sealed(grant_id):
             return None
         if budget is not None and self.ledger.room_tokens(grant_id) < (
@@ -139,34 +142,34 @@
             self._wake.set()
         return None
 
-    async def meet(self, holder: HolderId) -> None:
-        """Ask the table about a holder before its first work comes."""
+    async def prefetch_holder(self, holder: HolderId) -> None:
+        """Read the state of a holder before its first work arrives."""
         if self._version and not self.ledger.knows_holder(grant_id_of(holder, 0)):
-            await self._ask(holder)
+            await self._query_holder(holder)
 
     async def run(self) -> None:
-        """Write checkpoints and look after holders until cancelled."""
-        holders_at_s = self._clock() + HOLDERS_S * self._rng.random()
+        """Write checkpoints and refresh the state of holders until cancelled."""
+        refresh_at_s = self._clock() + HOLDER_REFRESH_S * self._rng.random()
         while True:
-            # Spread over the interval, so that sidecars started together do not
-            # write together.
+            # Randomize the interval, so that sidecars started together do not write at
+            # the same time.
             with anyio.move_on_after(self._checkpoint_s * (0.5 + self._rng.random())):
                 await self._wake.wait()
             self._wake = anyio.Event()
             if self.ledger.is_dirty:
                 await self._write(ended=False)
-            await anyio.sleep(_LEAST_GAP_S)
-            if self._clock() >= holders_at_s:
-                await self._look_after_holders()
-                holders_at_s = self._clock() + HOLDERS_S
+            await anyio.sleep(_MIN_CHECKPOINT_GAP_S)
+            if self._clock() >= refresh_at_s:
+                await self._refresh_holders()
+                refresh_at_s = self._clock() + HOLDER_REFRESH_S
 
     async def close(self) -> bool:
-        """Write the final use at a planned stop; tries until it is written.
+        """Write the final use at a planned shutdown, retrying until it is written.
 
-        Call it once no attempt runs any more; none is admitted from here on.
+        Call it once no attempt is running; nothing is admitted from then on.
 
-        :returns: False where attempts run, whose use is not final; recovery then
-            treats this sidecar as one that was lost.
+        :returns: False if attempts are running, so that their use is not final.
+            Recovery then treats this sidecar as lost.
         """
         self._closing = True
         if self.ledger.running:
@@ -179,24 +182,26 @@
     async def _raise_ceiling(
         self, grant_id: GrantId, budget: BudgetKey, tokens: int
     ) -> None:
-        """Write a checkpoint at once, once for all who wait for a ceiling."""
-        self.ledger.meet(grant_id, budget, self._clock())
-        self._wanted[grant_id] = self._wanted.get(grant_id, 0) + tokens
-        async with self._raising:
-            if grant_id in self._wanted:
+        """Write a checkpoint now, once for all requests that wait for the ceiling."""
+        self.ledger.track(grant_id, budget, self._clock())
+        self._ceiling_requests[grant_id] = (
+            self._ceiling_requests.get(grant_id, 0) + tokens
+        )
+        async with self._ceiling_lock:
+            if grant_id in self._ceiling_requests:
                 await self._write(ended=False)
 
-    async def _ask(self, holder: HolderId) -> None:
-        """Ask the table about a holder, once for all who need it."""
-        asked = self._asking.get(holder)
-        if asked is not None:
-            await asked.wait()
+    async def _query_holder(self, holder: HolderId) -> None:
+        """Read the state of a holder, shared by all requests that need it."""
+        pending = self._holder_queries.get(holder)
+        if pending is not None:
+            await pending.wait()
             return
-        self._asking[holder] = anyio.Event()
+        self._holder_queries[holder] = anyio.Event()
         try:
             await self._read_holders((holder,))
         finally:
-            self._asking.pop(holder).set()
+            self._holder_queries.pop(holder).set()
 
     async def _read_holders(self, holders: tuple[HolderId, ...]) -> None:
         keys = tuple(holder_row_key(holder) for holder in holders)
@@ -205,25 +210,25 @@
             return
         for holder, row in zip(holders, result.value):
             found = HolderRow.of(row) if row is not None else None
-            # A holder draws before it sends work, so one without a row is one
-            # whose row was swept up long after it was recovered.
+            # A holder draws before it sends work. A missing row was therefore deleted
+            # long after the holder was recovered.
             sealed = found is None or found.sealed
-            self.ledger.learn_holder(holder, sealed)
+            self.ledger.record_holder_state(holder, sealed)
             if found is None or found.recovered:
                 self.ledger.forget_holder(holder)
             elif not sealed:
                 self.ledger.forget_closed(holder, found.closed_below)
 
-    async def _look_after_holders(self) -> None:
+    async def _refresh_holders(self) -> None:
         holders = self.ledger.holders()
         if holders:
             await self._read_holders(holders)
 
     async def _write(self, ended: bool) -> bool:
-        """Write the row; return whether it is known to be written."""
+        """Write a checkpoint and return whether it is known to be written."""
         async with self._lock:
-            wanted = self._wanted
-            self._wanted = {}
+            wanted = self._ceiling_requests
+            self._ceiling_requests = {}
             uses = self.ledger.uses(self._clock(), wanted)
             ended_at_s = max(int(self._clock()), 1) if ended else 0
             transaction = checkpoint_transaction(
@@ -244,20 +249,20 @@
                     return False
                 case _:
                     return False
-            self.ledger.checkpointed(uses)
+            self.ledger.apply_checkpoint(uses)
             self._log.emit(events.CHECKPOINT_WRITTEN, grants=len(uses))
             return True
 
     async def _read_back(self) -> None:
-        """Find out why a write conflicted: an earlier one, or taken for gone."""
+        """Determine whether a conflict came from an earlier write or from recovery."""
         keys = (ledger_row_key(self._instance_id), uses_row_key(self._instance_id))
         result = await self._table.read(keys, timeout_s=_TIMEOUT_S)
         if not isinstance(result, Done):
             return
         row, uses = result.value
         if row is None or int(row.fields.get("ended_at_s", 0)):
-            # Recovery took this sidecar for gone. What it runs under is not
-            # watched any more, so it admits nothing further.
+            # Recovery marked this sidecar as terminated and no longer collects its use,
+            # so it must not admit further work.
             self._ended = True
             return
         self._version = row.version
--- a/src/endivegw/budgets/ledger.py
+++ b/src/endivegw/budgets/ledger.py
@@ -1,9 +1,8 @@
-"""What a sidecar knows of the grants that work runs under: the last gate.
+"""Count what a sidecar consumes of each grant, and refuse work under sealed grants.
 
-Tokens are consumed beside the sidecar and nowhere else, so this is where a
-stale router is stopped. A router that was paused beyond its lease wakes up and
-still believes in grants that were settled meanwhile; a sealed grant refuses it
-before a token is used.
+Tokens are consumed beside the sidecar and nowhere else, so this is where a stale router
+is stopped. A router that was paused beyond its lease still uses grants that were
+settled in the meantime; a sealed grant refuses its work before a token is consumed.
 """
 
 from __future__ import annotations
@@ -12,36 +11,45 @@
 
 from attrs import define, field, frozen
 
-from endivegw.budgets.rows import HolderId, grant_number_of, holder_named, holder_of
+from endivegw.budgets.rows import (
+    HolderId,
+    grant_number_of,
+    holder_of,
+    holder_of_all_grants,
+)
 from endivegw.exceptions import InvariantError
 from endivegw.results import Reason, Refused
 from endivegw.types import AttemptId, BudgetKey, GrantId, Usage
 
 __all__ = ["DEFAULT_CEILING_TOKENS", "GrantLedger", "GrantUse", "SealedGrant"]
 
-#: What a sidecar may consume of a grant before the table knows that it has met
-#: it. It must cover some requests, so that the first of a grant does not wait
-#: for a write; all of it is charged where the sidecar is lost before.
+#: Tokens of a grant that a sidecar may consume before the table records that it uses
+#: the grant. They must cover some requests, so that the first request of a grant does
+#: not wait for a write. All of them are charged if the sidecar is lost before the first
+#: checkpoint.
 DEFAULT_CEILING_TOKENS = 8_000
 
-#: A ceiling leaves room for this much of the grant's demand here, since it
-#: cannot be raised while the table is away. Longer charges more where a sidecar
-#: is lost; shorter refuses work in an outage that routers have tokens for.
-_HORIZON_S = 700.0
+#: Seconds of the grant's demand at this sidecar that a ceiling covers, since the
+#: ceiling cannot be raised while the table is unavailable. A longer period charges more
+#: tokens if a sidecar is lost; a shorter one refuses work in an outage although routers
+#: have tokens for it.
+_CEILING_HORIZON_S = 700.0
 
-#: In an outage other sidecars may fail, and their work comes here.
-_MARGIN = 1.5
+#: Factor on the projected demand. Other sidecars may fail during an outage, which moves
+#: their work to this one.
+_FAILOVER_MARGIN = 1.5
 
-#: A grant seen for less than this is taken to have been seen for this long.
-_LEAST_SEEN_S = 60.0
+#: Minimum observation period of a grant when its rate is computed.
+_MIN_OBSERVED_S = 60.0
 
 
 @frozen
 class SealedGrant:
-    """Say what was consumed under a grant that no further work may use.
+    """Represent what was consumed under a grant that is closed to further work.
 
-    :param consumed_tokens: by attempts that ended.
-    :param running_tokens: the most that attempts still running may consume.
+    :param consumed_tokens: consumed by attempts that ended.
+    :param running_tokens: the most that running attempts may consume.
+    :param running: number of running attempts.
     """
 
     grant_id: GrantId
@@ -52,11 +60,11 @@
 
 @frozen
 class GrantUse:
-    """Hold a grant's use for the checkpoint: cumulative, never falling.
+    """Represent the cumulative use of a grant in a checkpoint; it never decreases.
 
-    :param reserved_tokens: the most that attempts still running may consume.
-    :param ceiling_tokens: the most that will be consumed before the table holds
-        a higher ceiling; it only rises.
+    :param reserved_tokens: the most that running attempts may consume.
+    :param ceiling_tokens: the most that will be consumed before the table holds a
+        higher ceiling; it never decreases.
     """
 
     grant_id: GrantId
@@ -86,18 +94,17 @@
 
 
 class GrantLedger:
-    """Count what each grant consumed at one target, and refuse sealed ones.
-
-    Memory is bounded: a grant's entry goes away once its holder has closed it,
-    and of a sealed holder only the name stays.
-
-    :param checks_holders: whether a grant of a holder that
-        :meth:`learn_holder` was not told about is refused. A sidecar that was
-        just started has forgotten every seal, so it must ask the table about
-        each holder before it runs that holder's work.
-    :param has_ceilings: whether use stops at a ceiling until
-        :meth:`checkpointed` raises it. What a lost sidecar may have consumed is
-        bounded by that, and by nothing else.
+    """Count what each grant consumed at one target, and refuse sealed grants.
+
+    Memory is bounded: the entry of a grant is dropped once its holder has closed it,
+    and only the name of a sealed holder is retained.
+
+    :param checks_holders: whether to refuse grants of holders that were not passed to
+        :meth:`record_holder_state`. A restarted sidecar does not know earlier seals, so
+        it must read the state of each holder from the table before it runs work of that
+        holder.
+    :param has_ceilings: whether use stops at a ceiling until :meth:`apply_checkpoint`
+        raises it. Only the ceiling bounds what a lost sidecar may have consumed.
     """
 
     def __init__(
@@ -112,12 +119,12 @@
         self._sealed_holders: set[HolderId] = set()
 
     def knows_holder(self, grant_id: GrantId) -> bool:
-        """Return whether the table was asked about the grant's holder."""
+        """Return whether the state of the grant's holder was read from the table."""
         holder = holder_of(grant_id)
         return holder in self._open_holders or holder in self._sealed_holders
 
-    def learn_holder(self, holder: HolderId, sealed: bool) -> None:
-        """Take in what the table says of a holder; a seal is never undone."""
+    def record_holder_state(self, holder: HolderId, sealed: bool) -> None:
+        """Record the state of a holder as read from the table; a seal is permanent."""
         if sealed:
             self._sealed_holders.add(holder)
             self._open_holders.discard(holder)
@@ -132,27 +139,34 @@
         reservation_tokens: int,
         now_s: float,
     ) -> Refused | None:
-        """Count an attempt in before it starts, or say why it must not run.
+        """Register an attempt before it starts, or return why it must not run.
 
-        :returns: None where it may start; refused with ``GRANT_SEALED`` or, for
-            a holder not yet asked about, ``NOT_READY``.
+        :returns: None if the attempt may start; refused with ``GRANT_SEALED``, or with
+            ``NOT_READY`` if the state of the holder is unknown or the reservation does
+            not fit below the ceiling.
         """
         holder = holder_of(grant_id)
         if grant_id in self._sealed or holder in self._sealed_holders:
             return Refused(Reason.GRANT_SEALED, f"grant {grant_id} is sealed")
         if self._checks_holders and holder not in self._open_holders:
-            return Refused(Reason.NOT_READY, f"holder {holder} is not known yet")
+            return Refused(
+                Reason.NOT_READY, f"state of holder {holder} is not known yet"
+            )
         if attempt_id in self._attempts:
-            raise InvariantError(f"attempt {attempt_id} was admitted already")
+            raise InvariantError(f"attempt {attempt_id} is already admitted")
         grant = self._grants.get(grant_id)
         if grant is None:
             grant = _Grant(budget, DEFAULT_CEILING_TOKENS, now_s)
         if grant.budget != budget:
             return Refused(
-                Reason.BAD_REQUEST, f"grant {grant_id} is not one of budget {budget}"
+                Reason.BAD_REQUEST,
+                f"grant {grant_id} does not belong to budget {budget}",
             )
         if self._has_ceilings and self.room_tokens(grant_id) < reservation_tokens:
-            return Refused(Reason.NOT_READY, f"grant {grant_id} is at its ceiling")
+            return Refused(
+                Reason.NOT_READY,
+                f"grant {grant_id}: {reservation_tokens} tokens exceed its ceiling",
+            )
         self._grants[grant_id] = grant
         grant.running.add(attempt_id)
         grant.reserved_tokens += reservation_tokens
@@ -163,29 +177,29 @@
     def consume(self, attempt_id: AttemptId, tokens: int, now_s: float) -> None:
         """Count tokens of a running attempt.
 
-        :raises InvariantError: where they would pass the reservation; the
-            caller must stop the engine instead of handing them on.
+        :raises InvariantError: if they would exceed the reservation; the caller must
+            then stop the engine instead of delivering them.
         """
         attempt = self._attempts[attempt_id]
         if attempt.consumed_tokens + tokens > attempt.reservation_tokens:
             raise InvariantError(
-                f"attempt {attempt_id} would consume "
-                f"{attempt.consumed_tokens + tokens} tokens of a reservation of "
-                f"{attempt.reservation_tokens}"
+                f"attempt {attempt_id}: consumption of "
+                f"{attempt.consumed_tokens + tokens} tokens would exceed its "
+                f"reservation of {attempt.reservation_tokens}"
             )
         attempt.consumed_tokens += tokens
         grant = self._grants[attempt.grant_id]
         grant.dirty = True
 
     def room_tokens(self, grant_id: GrantId) -> int:
-        """Return how much more of a grant may be reserved below its ceiling."""
+        """Return how many tokens of a grant may still be reserved below its ceiling."""
         grant = self._grants.get(grant_id)
         if grant is None:
             return DEFAULT_CEILING_TOKENS
         return grant.ceiling_tokens - grant.consumed_tokens - grant.reserved_tokens
 
     def is_near_ceiling(self, grant_id: GrantId) -> bool:
-        """Return whether half of a grant's last allowance is used up."""
+        """Return whether more than half of a grant's last allowance is used."""
         grant = self._grants.get(grant_id)
         if grant is None:
             return False
@@ -197,10 +211,10 @@
         return attempt.reservation_tokens - attempt.consumed_tokens
 
     def end(self, attempt_id: AttemptId, usage: Usage, now_s: float) -> None:
-        """Take an attempt's final usage in; repeated calls do nothing.
+        """Record the final usage of an attempt; repeated calls have no effect.
 
-        :raises InvariantError: where the target consumed more than was reserved;
-            the whole use is counted first, since it has taken place.
+        :raises InvariantError: if the target consumed more than was reserved. The full
+            usage is counted first, since it has taken place.
         """
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
@@ -213,31 +227,33 @@
         grant.dirty = True
         if used_tokens > attempt.reservation_tokens:
             raise InvariantError(
-                f"attempt {attempt_id} consumed {used_tokens} tokens of a "
-                f"reservation of {attempt.reservation_tokens}"
+                f"attempt {attempt_id}: consumption of {used_tokens} tokens exceeds "
+                f"its reservation of {attempt.reservation_tokens}"
             )
 
     def seal(
         self, grant_ids: tuple[GrantId, ...], now_s: float
     ) -> tuple[SealedGrant, ...]:
-        """Refuse all later work under the grants and say what they consumed.
+        """Refuse all later work under the grants and return what they consumed.
 
-        An id of :func:`rows.all_grants_of` seals a holder, and is answered with
+        An id made by :func:`rows.all_grants_of` seals a holder; the result then lists
         each of its grants that work ran under here.
 
-        Running work goes on: its caller may still be joined to it through
-        another router. The asker comes back until nothing runs any more.
+        Running work continues, because its caller may still be joined to it through
+        another router. The caller of this method repeats it until no work is running.
         """
-        named: list[GrantId] = []
+        sealed_ids: list[GrantId] = []
         for grant_id in grant_ids:
-            holder = holder_named(grant_id)
+            holder = holder_of_all_grants(grant_id)
             if holder is None:
                 self._sealed.add(grant_id)
-                named.append(grant_id)
+                sealed_ids.append(grant_id)
             else:
-                self.learn_holder(holder, sealed=True)
-                named.extend(one for one in self._grants if holder_of(one) == holder)
-        return tuple(self._sealed_grant(grant_id) for grant_id in named)
+                self.record_holder_state(holder, sealed=True)
+                sealed_ids.extend(
+                    one for one in self._grants if holder_of(one) == holder
+                )
+        return tuple(self._sealed_grant(grant_id) for grant_id in sealed_ids)
 
     def is_sealed(self, grant_id: GrantId) -> bool:
         """Return whether work under the grant would be refused as sealed."""
@@ -251,9 +267,9 @@
     def uses(
         self, now_s: float, wanted: Mapping[GrantId, int] | None = None
     ) -> tuple[GrantUse, ...]:
-        """Return every grant that is counted here, with the ceilings to write.
+        """Return the use of every counted grant, with the ceilings to write.
 
-        :param wanted: reservations that wait for a higher ceiling.
+        :param wanted: by grant, tokens of reservations that wait for a higher ceiling.
         """
         wanted = wanted or {}
         return tuple(
@@ -261,14 +277,14 @@
             for grant_id, grant in self._grants.items()
         )
 
-    def meet(self, grant_id: GrantId, budget: BudgetKey, now_s: float) -> None:
-        """Count a grant from now on, so that its ceiling can be raised."""
+    def track(self, grant_id: GrantId, budget: BudgetKey, now_s: float) -> None:
+        """Start counting a grant, so that its ceiling can be raised."""
         if grant_id not in self._grants:
             grant = _Grant(budget, DEFAULT_CEILING_TOKENS, now_s)
             self._grants[grant_id] = grant
 
-    def checkpointed(self, uses: tuple[GrantUse, ...]) -> None:
-        """Take in that these figures are in the table, and raise the ceilings."""
+    def apply_checkpoint(self, uses: tuple[GrantUse, ...]) -> None:
+        """Raise the ceilings to those of a checkpoint that is in the table."""
         for use in uses:
             grant = self._grants.get(use.grant_id)
             if grant is None:
@@ -276,15 +292,15 @@
             grant.ceiling_tokens = max(grant.ceiling_tokens, use.ceiling_tokens)
             committed_tokens = use.consumed_tokens + use.reserved_tokens
             grant.allowance_tokens = use.ceiling_tokens - committed_tokens
-            same = grant.consumed_tokens == use.consumed_tokens
-            if same and grant.reserved_tokens == use.reserved_tokens:
+            is_unchanged = grant.consumed_tokens == use.consumed_tokens
+            if is_unchanged and grant.reserved_tokens == use.reserved_tokens:
                 grant.dirty = False
 
     def forget_closed(self, holder: HolderId, closed_below: int) -> int:
-        """Drop a holder's grants that are closed and settled; return how many.
+        """Drop closed and settled grants of a holder and return their number.
 
-        Its holder closed them itself when no attempt was left under them, so it
-        sends no more work under them.
+        The holder closes a grant only once no attempt is left under it, so it sends no
+        more work under that grant.
         """
         closed = [
             grant_id
@@ -298,15 +314,15 @@
         return len(closed)
 
     def forget_holder(self, holder: HolderId) -> None:
-        """Drop the grants of a sealed holder; its name stays, as sealed."""
-        self.learn_holder(holder, sealed=True)
-        gone = [name for name in self._grants if holder_of(name) == holder]
-        for grant_id in gone:
+        """Drop the grants of a sealed holder but retain its name as sealed."""
+        self.record_holder_state(holder, sealed=True)
+        closed = [name for name in self._grants if holder_of(name) == holder]
+        for grant_id in closed:
             if not self._grants[grant_id].running:
                 del self._grants[grant_id]
 
     def holders(self) -> tuple[HolderId, ...]:
-        """Return the open holders and those with grants, to ask the table about."""
+        """Return the open holders and those of counted grants, for a refresh."""
         counted = {holder_of(grant_id) for grant_id in self._grants}
         return tuple(sorted(self._open_holders | counted))
 
@@ -315,16 +331,18 @@
 
     @property
     def running(self) -> int:
-        """Return how many attempts run."""
+        """Return the number of running attempts."""
         return len(self._attempts)
 
     def _use(
         self, grant_id: GrantId, grant: _Grant, now_s: float, wanted_tokens: int
     ) -> GrantUse:
         committed_tokens = grant.consumed_tokens + grant.reserved_tokens
-        seen_s = max(now_s - grant.first_at_s, _LEAST_SEEN_S)
-        ahead_tokens = int(committed_tokens / seen_s * _HORIZON_S * _MARGIN)
-        allowance_tokens = max(ahead_tokens, DEFAULT_CEILING_TOKENS) + wanted_tokens
+        observed_s = max(now_s - grant.first_at_s, _MIN_OBSERVED_S)
+        projected_tokens = int(
+            committed_tokens / observed_s * _CEILING_HORIZON_S * _FAILOVER_MARGIN
+        )
+        allowance_tokens = max(projected_tokens, DEFAULT_CEILING_TOKENS) + wanted_tokens
         ceiling_tokens = max(grant.ceiling_tokens, committed_tokens + allowance_tokens)
         return GrantUse(
             grant_id,
--- a/src/endivegw/budgets/options.py
+++ b/src/endivegw/budgets/options.py
@@ -1,4 +1,4 @@
-"""What sets the pace of a router's budgets."""
+"""Limits and intervals of a router's budget manager."""
 
 from __future__ import annotations
 
@@ -6,26 +6,29 @@
 
 from endivegw.budgets.sizing import DemandSize, SizePolicy
 
-__all__ = ["KeeperOptions"]
+__all__ = ["BudgetOptions"]
 
 
 @frozen
-class KeeperOptions:
-    """Hold what the keeper's pace is set by.
-
-    :param tick_s: how often the loop looks for work without being woken.
-    :param writes_per_s: sustained writes of this router. 370 routers at this
-        rate stay inside the several hundred writes that the table carries.
-    :param write_burst: writes that may come at once after a quiet time, so that
-        the first request of a cold budget does not wait for its draw.
-    :param write_gap_s: least time between two writes. What is asked for
-        meanwhile goes into one.
-    :param table_timeout_s: how long one call of the table may take.
-    :param retry_gap_s: pause before a write without an answer is tried again.
-    :param wait_s: how long a request waits at most: near the end of a budget
-        for reservations in flight, otherwise for the table or a peer.
-    :param bill_flush_s: bill lines wait no longer than this for their write.
-    :param peer_timeout_s: how long one ask of a peer may take.
+class BudgetOptions:
+    """Configure the write rate, timeouts and intervals of the budget manager.
+
+    :param policy: how grant sizes are determined.
+    :param tick_s: interval, in seconds, at which the loop checks for due work when
+        idle.
+    :param writes_per_s: sustained table writes per second of this router. 370 routers
+        at this rate stay within the several hundred writes per second that the table
+        can carry.
+    :param write_burst: number of consecutive writes allowed after an idle period, so
+        that the first request of an unused budget does not wait for its draw.
+    :param write_gap_s: minimum seconds between two writes. Changes that become due in
+        the meantime are combined into one write.
+    :param table_timeout_s: timeout of one table call, in seconds.
+    :param retry_gap_s: seconds before a write without an answer is retried.
+    :param wait_s: maximum seconds that a request waits for tokens: near the end of a
+        budget for running reservations to end, otherwise for the table or a peer.
+    :param bill_flush_s: maximum seconds that bill lines wait for their write.
+    :param peer_timeout_s: timeout of one transfer request to a peer, in seconds.
     """
 
     policy: SizePolicy = field(factory=DemandSize)
--- a/src/endivegw/budgets/reconcile.py
+++ b/src/endivegw/budgets/reconcile.py
@@ -1,4 +1,4 @@
-"""Compare what was settled with what was billed, to the token."""
+"""Compare settled tokens with billed tokens, exactly."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
     """Hold the sums of one budget.
 
     :ivar billed_tokens: by kind of record.
-    :ivar requests: how many requests have a line.
-    :ivar doubled: names of requests with more than one line; none may be here.
+    :ivar requests: number of requests with a line.
+    :ivar doubled: names of requests with more than one line; empty if billing is
+        correct.
     """
 
     budget: BudgetKey
@@ -41,20 +42,20 @@
 
     @property
     def billed_total_tokens(self) -> int:
-        """Return what all records add up to."""
+        """Return the sum of all records."""
         return sum(self.billed_tokens.values())
 
     @property
     def difference_tokens(self) -> int:
-        """Return what was settled and not yet billed; below 0 the other way.
+        """Return settled minus billed tokens.
 
-        Lines and settlements of requests that ended in the last seconds are
-        still with their routers; a budget at rest has no difference.
+        Lines and settlements of requests that ended in the last seconds may not be
+        written yet; a budget without recent requests has no difference.
         """
         return self.settled_tokens - self.billed_total_tokens
 
     def sentence(self) -> str:
-        """Return what an operator is told."""
+        """Return a one-line result for operators."""
         if self.doubled:
             return f"{len(self.doubled)} requests were billed twice"
         difference = self.difference_tokens
@@ -65,9 +66,9 @@
 
 
 def reconcile(row: BudgetRow, records: Iterable[BillRecord]) -> Reconciliation:
-    """Add up a budget's records beside its row.
+    """Sum up the records of a budget and compare them with its row.
 
-    :param records: the whole bill, from the budget's first top-up on.
+    :param records: the complete bill, starting at the budget's first top-up.
     """
     found = Reconciliation(row.budget, row.settled_tokens, row.granted_tokens)
     names: set[str] = set()
@@ -92,10 +93,11 @@
     from_s: float | None = None,
     until_s: float | None = None,
 ) -> AsyncIterator[BillRecord | Refused | Unknown]:
-    """Yield the records of a period; what is not done ends the listing.
+    """Yield the records of a period; a failed read is yielded and ends the listing.
 
-    :param budget: only this one's, None for all.
+    :param budget: the budget to list, or None for all.
     :param from_s: Unix time; rows of earlier hours are not read.
+    :param until_s: Unix time; rows of later hours are not read.
     """
     after = hour_prefix(from_s) if from_s is not None else None
     last_hour = hour_prefix(until_s) if until_s is not None else None
--- a/src/endivegw/budgets/recovery.py
+++ b/src/endivegw/budgets/recovery.py
@@ -1,13 +1,13 @@
-"""Recover the grants of a router that is dead, paused or cut off.
+"""Recover the grants of a router that is dead, paused or partitioned.
 
-A router that is gone leaves tokens escrowed, and work that it handed over may
-still be running or may still arrive. The holder is fenced off in the table, its
-grants are sealed at the sidecars, which say what was consumed, and the rest goes
-back to the budget. Any router may do this for any other, also at the same
-moment: each write expects the version of the row that it was decided on.
+A router that terminates leaves tokens in escrow, and work that it dispatched may still
+be running or in transit. Recovery fences the holder off in the table, seals its grants
+at the sidecars, which report what was consumed, and returns the remaining tokens to the
+budget. Any router may recover any other, also concurrently with others: each write
+expects the version of the row on which the decision was based.
 
-Sealing before reading follows the sealing by epoch of the related stream engine
-paper; here the holder's name takes the epoch's part.
+Sealing before reading follows the sealing by epoch of a published stream engine, with
+the holder's name in place of the epoch.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     ledger_row_key,
     uses_row_key,
 )
-from endivegw.budgets.collecting import Collected, GrantDecision, decide
+from endivegw.budgets.collecting import CollectedUsage, GrantDecision, decide
 from endivegw.budgets.ledger import SealedGrant
 from endivegw.budgets.recovery_writes import grant_transaction, holder_put_sealed
 from endivegw.budgets.rows import (
@@ -49,22 +49,22 @@
 
 _TIMEOUT_S = 1.0
 
-#: Sidecars sealed at the same time: 650 take a few round trips each.
-_SEALS_AT_ONCE = 32
+#: Maximum concurrent seal requests. 650 sidecars then take a few round trips each.
+_MAX_CONCURRENT_SEALS = 32
 
-#: Pause between two rounds while work still runs or sidecars do not answer.
+#: Seconds between two rounds while work is running or sidecars do not answer.
 ROUND_S = 2.0
 
-#: How long rows of ended holders and sidecars stay.
-KEEP_ENDED_S = 86_400.0
+#: Seconds for which rows of recovered holders and terminated sidecars are retained.
+ENDED_RETENTION_S = 86_400.0
 
 
 @frozen
 class SealAnswer:
-    """Hold a sidecar's answer to a seal.
+    """Represent the answer of a sidecar to a seal request.
 
-    :param sidecar: the instance that answered; another than the one that was
-        asked for means that the asked one is gone.
+    :param sidecar: the instance that answered. If it differs from the registered
+        instance, the registered one has terminated.
     """
 
     sidecar: InstanceId
@@ -72,24 +72,24 @@
 
 
 class SealPort(Protocol):
-    """The way to the sidecars."""
+    """Send seal requests to sidecars and report their termination."""
 
     async def seal(
         self, target: TargetName, grant_ids: tuple[GrantId, ...], *, timeout_s: float
     ) -> Result[SealAnswer]:
-        """Seal grants at a target's sidecar and return what they consumed."""
+        """Seal grants at the sidecar of a target and return what they consumed."""
 
-    def gone_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
-        """Return when a sidecar was seen to be gone for good, None if it is not.
+    def terminated_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
+        """Return when a sidecar terminated for good, or None if this is not known.
 
-        Gone needs the platform's word that its machine is gone, not only a
-        sidecar that does not answer.
+        The platform must confirm that the machine was removed; an unresponsive sidecar
+        is not sufficient.
         """
 
 
 @frozen
 class RecoveryState:
-    """Say how far the recovery of a holder has come.
+    """Report the progress of a holder's recovery.
 
     :param grants_left: grants that still wait for work to end or for sidecars.
     """
@@ -99,7 +99,7 @@
 
 
 class Recovery:
-    """Recover holders; keeps nothing between calls, so that any router may go on."""
+    """Recover holders; stateless between calls, so that any router may continue."""
 
     def __init__(
         self,
@@ -114,37 +114,37 @@
         self._log = log or EventLog("budgets")
 
     async def recover(self, instance_id: InstanceId) -> RecoveryState:
-        """Go one round for every name under which an instance drew grants.
+        """Run one round for every holder name under which an instance drew grants.
 
-        Call it again, some :data:`ROUND_S` later, until it says done.
+        Repeat the call every :data:`ROUND_S` seconds until the result is done.
         """
         holders = await self._scan(HOLDER_PARTITION, instance_id)
         if holders is None:
             return RecoveryState(False, 0)
         done = True
-        left = 0
+        grants_left = 0
         for row in holders:
             holder = HolderRow.of(row)
             if holder.instance_id != instance_id or holder.recovered:
                 continue
             state = await self._recover_holder(holder)
             done = done and state.done
-            left += state.grants_left
-        return RecoveryState(done, left)
+            grants_left += state.grants_left
+        return RecoveryState(done, grants_left)
 
     async def recover_grant(self, grant_id: GrantId) -> RecoveryState:
-        """Go one round for a single grant whose holder lives.
+        """Run one round for a single grant whose holder is alive.
 
-        For a grant that was lent to a router that is gone, or whose loan's
-        answer was lost. The holder must have no attempts left under it.
+        Used for a grant that was lent to a router that has terminated, or whose
+        transfer response was lost. The holder must have no attempts left under it.
         """
         rows = await self._read_grants((grant_id,))
         if rows is None:
             return RecoveryState(False, 1)
         return await self._recover_grants(rows, (grant_id,), whole_holder=False)
 
-    async def until_done(self, instance_id: InstanceId) -> None:
-        """Go round after round until nothing of an instance is left open."""
+    async def recover_until_done(self, instance_id: InstanceId) -> None:
+        """Run rounds until no grant of an instance is open."""
         while not (await self.recover(instance_id)).done:
             await anyio.sleep(ROUND_S)
 
@@ -162,42 +162,43 @@
         return state
 
     async def _mark_recovered(self, holder: HolderRow) -> None:
-        """Let the sidecars forget the holder's grants; its name stays a while."""
+        """Mark a holder as recovered, so that sidecars can drop its grants."""
         result = await self._table.read(
             (holder_row_key(holder.holder),), timeout_s=_TIMEOUT_S
         )
         if isinstance(result, Done) and result.value[0] is not None:
             found = HolderRow.of(result.value[0])
             put = holder_put_sealed(found, True, self._clock())
-            # A failure costs a sidecar memory until the next round, no more.
+            # A failure has no effect beyond the sidecars' memory use until the next
+            # round.
             await self._table.transact(Transaction((put,)), timeout_s=_TIMEOUT_S)
 
-    async def sweep(self) -> int:
-        """Delete rows of holders and sidecars that ended long ago.
+    async def delete_expired_rows(self) -> int:
+        """Delete rows of holders and sidecars past their retention period.
 
-        They stay for a day: a write that is still on its way would otherwise
-        find no row, and begin a holder anew that was recovered.
+        Rows are retained for a day. Otherwise, a delayed write could find no row and
+        recreate a holder that was already recovered.
         """
-        before_s = self._clock() - KEEP_ENDED_S
-        doomed: list[Delete] = []
+        before_s = self._clock() - ENDED_RETENTION_S
+        expired: list[Delete] = []
         for row in await self._scan(HOLDER_PARTITION, "") or []:
             holder = HolderRow.of(row)
             if holder.recovered and holder.written_at_s < before_s:
-                doomed.append(Delete(row.key, row.version))
+                expired.append(Delete(row.key, row.version))
         for row in await self._scan(LEDGER_PARTITION, "") or []:
             ended_at_s = LedgerRow.of(row).ended_at_s
             if ended_at_s is not None and ended_at_s < before_s:
-                doomed.append(Delete(row.key, row.version))
+                expired.append(Delete(row.key, row.version))
                 uses_key = uses_row_key(InstanceId(row.key.sort))
                 uses = await self._table.read((uses_key,), timeout_s=_TIMEOUT_S)
                 if isinstance(uses, Done) and uses.value[0] is not None:
-                    doomed.append(Delete(uses_key, uses.value[0].version))
-        for delete in doomed:
+                    expired.append(Delete(uses_key, uses.value[0].version))
+        for delete in expired:
             await self._table.transact(Transaction((delete,)), timeout_s=_TIMEOUT_S)
-        return len(doomed)
+        return len(expired)
 
     async def _fence(self, holder: HolderRow) -> bool:
-        """Take the holder's row from it, so that none of its writes succeed."""
+        """Seal the holder's row, so that none of the holder's later writes succeed."""
         if holder.sealed:
             return True
         put = holder_put_sealed(holder, False, self._clock())
@@ -205,8 +206,8 @@
         if isinstance(result, Done):
             self._log.emit(events.RECOVERY_STARTED, holder=holder.holder)
             return True
-        # Lost answers and races with the holder itself are settled in the next
-        # round, by what its row says then.
+        # After a lost answer or a race with the holder, the next round decides from the
+        # state of the holder's row.
         return False
 
     async def _recover_grants(
@@ -217,44 +218,47 @@
     ) -> RecoveryState:
         if not grants:
             return RecoveryState(True, 0)
-        # Listed after the fence: a sidecar that registers later asks the table
-        # about the holder and sees it sealed.
+        # Listed after the fence: a sidecar that registers later reads the holder's
+        # state from the table and sees that it is sealed.
         ledgers = await self._scan(LEDGER_PARTITION, "")
         if ledgers is None:
             return RecoveryState(False, len(grants))
         collected = await self._collect(
             [LedgerRow.of(row) for row in ledgers], seal_ids
         )
-        # The rows were read before the sidecars were asked, and each write
-        # expects the version read: use that a borrower settles in between would
-        # hide as much use of others that nobody has settled.
+        # The rows are read before the sidecars report, and each write expects the
+        # version read. If a borrower settled use in between, the same number of
+        # unsettled tokens used by others would go unnoticed.
         open_rows = Counter(grant.budget for grant in grants)
-        left = 0
+        grants_left = 0
         for grant in grants:
             is_last = whole_holder and open_rows[grant.budget] == 1
             if await self._settle(grant, collected, is_last):
                 open_rows[grant.budget] -= 1
             else:
-                left += 1
-        return RecoveryState(left == 0, left)
+                grants_left += 1
+        return RecoveryState(grants_left == 0, grants_left)
 
     async def _collect(
         self, ledgers: list[LedgerRow], seal_ids: tuple[GrantId, ...]
-    ) -> Collected:
-        collected = Collected()
-        limiter = anyio.CapacityLimiter(_SEALS_AT_ONCE)
+    ) -> CollectedUsage:
+        collected = CollectedUsage()
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_SEALS)
 
-        async def ask(ledger: LedgerRow) -> None:
+        async def seal(ledger: LedgerRow) -> None:
             async with limiter:
-                await self._seal_one(ledger, seal_ids, collected)
+                await self._seal_sidecar(ledger, seal_ids, collected)
 
         async with anyio.create_task_group() as tasks:
             for ledger in ledgers:
-                tasks.start_soon(ask, ledger)
+                tasks.start_soon(seal, ledger)
         return collected
 
-    async def _seal_one(
-        self, ledger: LedgerRow, seal_ids: tuple[GrantId, ...], collected: Collected
+    async def _seal_sidecar(
+        self,
+        ledger: LedgerRow,
+        seal_ids: tuple[GrantId, ...],
+        collected: CollectedUsage,
     ) -> None:
         if ledger.ended_at_s is None:
             result = await self._seals.seal(
@@ -263,30 +267,33 @@
             if isinstance(result, Done) and result.value.sidecar == ledger.sidecar:
                 collected.add_answer(result.value.grants)
                 return
-            gone_at_s = self._seals.gone_at_s(ledger.target, ledger.sidecar)
-            if gone_at_s is None and isinstance(result, Done):
-                # A target has room for one sidecar, so another one in its place
-                # says that the registered one has ended.
-                gone_at_s = self._clock()
-            if gone_at_s is None or not await self._mark_gone(ledger, gone_at_s):
+            terminated_at_s = self._seals.terminated_at_s(ledger.target, ledger.sidecar)
+            if terminated_at_s is None and isinstance(result, Done):
+                # A target has only one sidecar, so an answer from another instance
+                # means that the registered one has terminated.
+                terminated_at_s = self._clock()
+            if terminated_at_s is None or not await self._mark_terminated(
+                ledger, terminated_at_s
+            ):
                 collected.add_unreachable()
                 return
         await self._read_ended(ledger, collected)
 
-    async def _mark_gone(self, ledger: LedgerRow, gone_at_s: float) -> bool:
-        """Write that a sidecar is gone; return whether the table says so now."""
-        # Rounded up: a grant opened in the same second may have been used there.
-        fields = ended_fields(ledger.target, int(gone_at_s) + 1, exact=False)
+    async def _mark_terminated(self, ledger: LedgerRow, terminated_at_s: float) -> bool:
+        """Mark a sidecar as terminated and return whether the write succeeded."""
+        # Rounded up, because a grant opened in the same second may have been used
+        # there.
+        fields = ended_fields(ledger.target, int(terminated_at_s) + 1, exact=False)
         put = Put(ledger_row_key(ledger.sidecar), fields, ledger.version)
         result = await self._table.transact(Transaction((put,)), timeout_s=_TIMEOUT_S)
-        # A conflict, or a lost answer, is settled in the next round.
+        # The next round resolves a conflict or a lost answer.
         return isinstance(result, Done)
 
-    async def _read_ended(self, ledger: LedgerRow, collected: Collected) -> None:
-        """Take in the last checkpoint of a sidecar that has ended.
+    async def _read_ended(self, ledger: LedgerRow, collected: CollectedUsage) -> None:
+        """Add the last checkpoint of a sidecar that has terminated.
 
-        Both rows are read together after its end was written, so no checkpoint
-        can be newer.
+        Both rows are read together after the termination was written, so no later
+        checkpoint can exist.
         """
         keys = (ledger_row_key(ledger.sidecar), uses_row_key(ledger.sidecar))
         result = await self._table.read(keys, timeout_s=_TIMEOUT_S)
@@ -297,9 +304,9 @@
         collected.add_ended(ended, decode_uses(result.value[1]))
 
     async def _settle(
-        self, grant: GrantRow, collected: Collected, is_last: bool
+        self, grant: GrantRow, collected: CollectedUsage, is_last: bool
     ) -> bool:
-        """Write what is certain of one grant; return whether nothing is left.
+        """Write the decided part of one grant and return whether nothing is left.
 
         :param is_last: whether the holder has no other grant of the budget.
         """
@@ -309,8 +316,8 @@
         transaction = grant_transaction(grant, decision, is_last, self._clock())
         result = await self._table.transact(transaction, timeout_s=_TIMEOUT_S)
         if not isinstance(result, Done):
-            # Someone else was faster, or the answer is lost: the next round
-            # reads what holds.
+            # Another router wrote first or the answer was lost. The next round reads
+            # the current state.
             return False
         self._log_decision(grant, decision)
         return decision.held_tokens == 0
--- a/src/endivegw/budgets/recovery_writes.py
+++ b/src/endivegw/budgets/recovery_writes.py
@@ -1,4 +1,4 @@
-"""The writes of a recovery, each bound to the version that it was decided on."""
+"""Writes of a recovery, each conditional on the row version it was decided on."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 def holder_put_sealed(holder: HolderRow, recovered: bool, now_s: float) -> Put:
-    """Return the write that fences a holder off, or says that nothing is left."""
+    """Return the write that fences a holder off or marks it as recovered.
+
+    :param recovered: whether none of the holder's grants is open.
+    """
     fields: dict[str, RowValue] = {
         "instance_id": holder.instance_id,
         "operation": holder.operation_id,
@@ -32,12 +35,12 @@
 def grant_transaction(
     grant: GrantRow, decision: GrantDecision, is_last: bool, now_s: float
 ) -> Transaction:
-    """Return the transaction that settles, bills and returns of one grant.
+    """Return the transaction that settles, bills and returns tokens of one grant.
 
-    :param is_last: whether its holder has no other grant of the budget.
+    The first such write marks the row as not open, so that a borrower cannot settle the
+    same use a second time.
 
-    The row is marked as not open with the first such write, so that a borrower
-    cannot settle the same use a second time.
+    :param is_last: whether the holder has no other grant of the budget.
     """
     charged_tokens = decision.settle_tokens + decision.write_off_tokens
     leaving_tokens = charged_tokens + decision.return_tokens
@@ -66,7 +69,8 @@
     )
     records = _records(grant, decision, now_s)
     if records:
-        # One row for each version: a second write of the same decision conflicts.
+        # The key contains the version of the grant's row: a second write of the same
+        # decision conflicts.
         writer = f"recovery/{grant.grant_id}"
         body: dict[str, RowValue] = {
             "lines": encode_chunk(records),
--- a/src/endivegw/budgets/rows.py
+++ b/src/endivegw/budgets/rows.py
@@ -1,7 +1,7 @@
-"""The rows that budgets keep in the platform's table, and how they are read.
+"""Rows that budgets store in the platform's table, and their typed forms.
 
-A budget's row holds ``available + granted + settled == topped_up``. Tokens move
-between the three fields and never appear from nowhere; only a top-up adds.
+In the row of a budget, ``available + granted + settled == topped_up`` always holds.
+Tokens move between these three fields, and only a top-up adds any.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
     "grant_number_of",
     "grant_prefix_of",
     "grant_row_key",
-    "holder_named",
+    "holder_of_all_grants",
     "holder_of",
     "holder_row_key",
     "topup_row_key",
@@ -40,13 +40,14 @@
 HOLDER_PARTITION = "holder"
 TOPUP_PARTITION = "topup"
 
-#: Who draws grants: a router's instance id, and a new one after it was sealed.
+#: Drawer of grants: a router's instance id, with a new suffix each time it was fenced.
 HolderId = str
 
-#: Separates the holder from the number of the grant in a grant's id.
+#: Separates the holder from the grant's number in a grant id.
 _GRANT_SEPARATOR = "#"
 
-#: In place of the number: all grants of the holder, also those never heard of.
+#: Replaces the number in an id that represents all grants of the holder, including
+#: those unknown to the recipient.
 _ALL_GRANTS = "*"
 
 
@@ -56,7 +57,7 @@
 
 
 def grant_row_key(grant_id: GrantId) -> RowKey:
-    """Return the key of a grant's row; those of one holder lie together."""
+    """Return the key of a grant's row; the grants of a holder are adjacent."""
     return RowKey(GRANT_PARTITION, grant_id)
 
 
@@ -66,7 +67,7 @@
 
 
 def topup_row_key(budget: BudgetKey, operation_id: str) -> RowKey:
-    """Return the key of the row that makes a repeated top-up add once."""
+    """Return the key of the row that makes a top-up idempotent."""
     return RowKey(TOPUP_PARTITION, f"{budget}/{operation_id}")
 
 
@@ -76,46 +77,47 @@
 
 
 def grant_prefix_of(holder: HolderId) -> str:
-    """Return what the sort keys of a holder's grant rows begin with."""
+    """Return the prefix of the sort keys of a holder's grant rows."""
     return f"{holder}{_GRANT_SEPARATOR}"
 
 
 def holder_of(grant_id: GrantId) -> HolderId:
-    """Return who drew a grant."""
+    """Return the holder that drew a grant."""
     return grant_id.rpartition(_GRANT_SEPARATOR)[0]
 
 
 def grant_number_of(grant_id: GrantId) -> int:
-    """Return the number of a grant among its holder's."""
+    """Return the number of a grant among those of its holder."""
     return int(grant_id.rpartition(_GRANT_SEPARATOR)[2])
 
 
 def all_grants_of(holder: HolderId) -> GrantId:
-    """Return the id that stands for every grant of a holder in a seal."""
+    """Return the id that represents every grant of a holder in a seal request."""
     return GrantId(f"{holder}{_GRANT_SEPARATOR}{_ALL_GRANTS}")
 
 
-def holder_named(grant_id: GrantId) -> HolderId | None:
-    """Return the holder where the id stands for all of its grants, else None."""
+def holder_of_all_grants(grant_id: GrantId) -> HolderId | None:
+    """Return the holder if the id represents all of its grants, else None."""
     holder, _, number = grant_id.rpartition(_GRANT_SEPARATOR)
     return holder if number == _ALL_GRANTS else None
 
 
 def budget_key_of(text: str) -> BudgetKey:
-    """Return the budget that a row's sort key or field names."""
+    """Return the budget named by a row's sort key or field."""
     account, _, name = text.partition("/")
     return BudgetKey(ClientAccountName(account), name)
 
 
-def _number(row: Row, name: str) -> int:
+def _int_field(row: Row, name: str) -> int:
     return int(row.fields.get(name, 0))
 
 
 @frozen
 class BudgetRow:
-    """Hold one budget as it was read.
+    """Represent one budget as read from the table.
 
-    :param drawers: how many holders have a grant of it; advice for sizes only.
+    :param drawers: number of holders with a grant of the budget; used only to determine
+        draw sizes.
     """
 
     budget: BudgetKey
@@ -127,24 +129,24 @@
 
     @classmethod
     def of(cls, row: Row) -> BudgetRow:
-        """Return the typed row, checked against the product's promise."""
+        """Return the typed form of a row, after checking that its tokens add up."""
         budget = cls(
             budget=budget_key_of(row.key.sort),
-            topped_up_tokens=_number(row, "topped_up"),
-            available_tokens=_number(row, "available"),
-            granted_tokens=_number(row, "granted"),
-            settled_tokens=_number(row, "settled"),
-            drawers=_number(row, "drawers"),
+            topped_up_tokens=_int_field(row, "topped_up"),
+            available_tokens=_int_field(row, "available"),
+            granted_tokens=_int_field(row, "granted"),
+            settled_tokens=_int_field(row, "settled"),
+            drawers=_int_field(row, "drawers"),
         )
         check_budget(budget)
         return budget
 
 
 def check_budget(row: BudgetRow) -> None:
-    """Raise unless the budget's tokens add up and none is negative.
+    """Raise unless the tokens of a budget add up and none of the sums is negative.
 
-    A budget whose tokens do not add up would let an account spend what nobody
-    paid for; whoever reads such a row stops at once.
+    An inconsistent budget would let an account spend tokens that nobody paid for, so a
+    reader of such a row stops at once.
     """
     parts = (row.available_tokens, row.granted_tokens, row.settled_tokens)
     if min(parts) < 0 or sum(parts) != row.topped_up_tokens:
@@ -155,11 +157,11 @@
 
 @frozen
 class GrantRow:
-    """Hold one grant as it was read.
+    """Represent one grant as read from the table.
 
-    :param tokens: what is escrowed and not yet settled or given back.
-    :param settled_tokens: what was settled under it so far.
-    :param open: False once recovery has begun; only recovery writes it then.
+    :param tokens: escrowed tokens that are not yet settled or returned.
+    :param settled_tokens: tokens settled under the grant so far.
+    :param open: False once recovery has started; only recovery writes the row then.
     """
 
     grant_id: GrantId
@@ -172,27 +174,27 @@
 
     @classmethod
     def of(cls, row: Row) -> GrantRow:
-        """Return the typed row."""
+        """Return the typed form of a row."""
         return cls(
             grant_id=GrantId(row.key.sort),
             version=row.version,
             budget=budget_key_of(str(row.fields["budget"])),
-            tokens=_number(row, "tokens"),
-            settled_tokens=_number(row, "settled"),
-            opened_at_s=_number(row, "opened_at_s"),
-            open=_number(row, "open") == 1,
+            tokens=_int_field(row, "tokens"),
+            settled_tokens=_int_field(row, "settled"),
+            opened_at_s=_int_field(row, "opened_at_s"),
+            open=_int_field(row, "open") == 1,
         )
 
 
 @frozen
 class HolderRow:
-    """Hold the row through which all of a holder's writes pass.
+    """Represent the row that all writes of a holder update.
 
-    :param operation_id: the last write that took effect.
+    :param operation_id: id of the last write that took effect.
     :param sealed: True once recovery has fenced the holder off.
-    :param written_at_s: when the holder wrote last, or when it was sealed.
+    :param written_at_s: when the holder last wrote, or when it was sealed.
     :param closed_below: all grants with lower numbers are closed and settled.
-    :param recovered: True once nothing of a sealed holder is left open.
+    :param recovered: True once none of a sealed holder's grants is open.
     """
 
     holder: HolderId
@@ -206,14 +208,14 @@
 
     @classmethod
     def of(cls, row: Row) -> HolderRow:
-        """Return the typed row."""
+        """Return the typed form of a row."""
         return cls(
             holder=row.key.sort,
             version=row.version,
             instance_id=InstanceId(str(row.fields["instance_id"])),
             operation_id=str(row.fields["operation"]),
-            sealed=_number(row, "sealed") == 1,
-            written_at_s=_number(row, "written_at_s"),
-            closed_below=_number(row, "closed_below"),
-            recovered=_number(row, "recovered") == 1,
+            sealed=_int_field(row, "sealed") == 1,
+            written_at_s=_int_field(row, "written_at_s"),
+            closed_below=_int_field(row, "closed_below"),
+            recovered=_int_field(row, "recovered") == 1,
         )
--- a/src/endivegw/budgets/sizing.py
+++ b/src/endivegw/budgets/sizing.py
@@ -1,9 +1,9 @@
-"""How large a grant to draw, and when to draw and to give back.
+"""Determine how large a grant to draw, and when to draw and return tokens.
 
-Made for a few hot budgets drawn on from every zone and for many cold ones. A
-grant that is too small costs table writes and refuses requests as soon as the
-table is away; one that is too large strands tokens with a router that does not
-need them, so that others refuse near the end of a budget.
+The sizes suit a few busy budgets that routers in every zone draw on, and many rarely
+used ones. A grant that is too small costs table writes and refuses requests as soon as
+the table is unavailable. One that is too large strands tokens with a router that does
+not need them, so that others refuse requests near the end of a budget.
 """
 
 from __future__ import annotations
@@ -19,26 +19,29 @@
     "Remainder",
     "SizePolicy",
     "draw_tokens",
-    "hand_target_tokens",
-    "idle_tokens",
+    "desired_free_tokens",
+    "returnable_tokens",
 ]
 
-#: A router takes at most this part of its even share of what is left at once,
-#: so that the draws of all routers get smaller together as a budget ends and
-#: the last tokens are spread over those who ask.
+#: Divisor of a router's even share of the available tokens that limits a single draw.
+#: The draws of all routers thus shrink together as a budget ends, and the last tokens
+#: are spread over the routers that need them.
 _SHARE_DIVISOR = 2
 
-#: Free tokens below this part of what should be in hand cause a draw, since an
-#: outage may begin just before it. Higher draws more often.
-_LOW_WATER = 0.9
+#: A draw is due if the free tokens fall below this fraction of the desired number. An
+#: outage may start just before the draw, so the fraction is high; a higher one draws
+#: more often.
+_LOW_WATERMARK = 0.9
 
-#: Free tokens above this multiple of what should be in hand go back; the gap to
-#: the low water keeps a steady demand from drawing and returning in turns.
-_HIGH_WATER = 1.3
+#: Tokens are returned if the free tokens exceed this multiple of the desired number.
+#: The gap to the low watermark prevents steady demand from alternating draws and
+#: returns.
+_HIGH_WATERMARK = 1.3
 
-#: A draw that no request waits for brings at least this part of what should be
-#: in hand; near the end of a budget each second would bring a few tokens else.
-_LEAST_PART = 0.05
+#: Minimum size of a draw that no request waits for, as a fraction of the desired free
+#: tokens. Without it, a router would draw a few tokens every second near the end of a
+#: budget.
+_MIN_DRAW_FRACTION = 0.05
 
 
 @frozen
@@ -50,14 +53,14 @@
 
 @frozen
 class ProportionalSize:
-    """Draw a part of what is left, whatever the demand is."""
+    """Draw a fraction of the available tokens, regardless of demand."""
 
-    part: float = 0.05
+    fraction: float = 0.05
 
 
 @frozen
 class DemandSize:
-    """Draw what the demand of some time needs, by the account's reserve."""
+    """Draw the tokens that demand needs for the duration of the account's reserve."""
 
 
 SizePolicy = FixedSize | ProportionalSize | DemandSize
@@ -65,15 +68,15 @@
 
 @frozen
 class GrantState:
-    """Hold what a router knows of one budget when it decides.
+    """Represent what a router knows of one budget when it decides on a draw.
 
-    :param free_tokens: in hand and not reserved.
-    :param reserved_tokens: in reservations of attempts in flight.
-    :param wanted_tokens: bounds of all requests that wait.
-    :param smallest_wanted_tokens: the smallest of them, 0 where none waits.
+    :param free_tokens: held by the router and not reserved.
+    :param reserved_tokens: in reservations of running attempts.
+    :param wanted_tokens: sum of the bounds of all waiting requests.
+    :param smallest_wanted_tokens: the smallest of these bounds, or 0 if none waits.
     :param rate_tokens_per_s: recent consumption.
     :param largest_bound_tokens: the largest recent reservation.
-    :param reserve_s: the account's parameter.
+    :param reserve_s: the account's parameter of that name.
     """
 
     free_tokens: int
@@ -87,12 +90,12 @@
 
 @frozen
 class Draw:
-    """Hold the decision on one draw with its figures.
+    """Represent the decision on one draw.
 
     :param needed_tokens: without these no waiting request can run.
-    :param tokens: what to draw.
-    :param merges: whether the free tokens of all grants in hand move into the
-        drawn one; a reservation cannot be split over two grants.
+    :param tokens: how many tokens to draw.
+    :param merges: whether the free tokens of all held grants move into the drawn one,
+        because a reservation cannot be split over two grants.
     """
 
     needed_tokens: int
@@ -100,11 +103,11 @@
     merges: bool
 
 
-def hand_target_tokens(state: GrantState) -> int:
-    """Return how many tokens the router should have in hand.
+def desired_free_tokens(state: GrantState) -> int:
+    """Return how many free tokens the router should hold.
 
-    Demand over the account's reserve rides out an outage of that length; one
-    large reservation on top lets the next request start without a draw.
+    Demand over the account's reserve covers an outage of that length. One large
+    reservation on top lets the next request start without a draw.
     """
     demand_tokens = int(state.rate_tokens_per_s * state.reserve_s)
     return demand_tokens + state.largest_bound_tokens
@@ -112,11 +115,11 @@
 
 @frozen
 class Remainder:
-    """Hold what is left of a budget, as the table says.
+    """Represent the unspent tokens of a budget according to the table.
 
-    :param available_tokens: what no grant holds.
-    :param granted_tokens: what all routers hold.
-    :param drawers: how many routers draw on the budget, this one included.
+    :param available_tokens: tokens outside any grant.
+    :param granted_tokens: tokens in the grants of all routers.
+    :param drawers: number of routers that draw on the budget, including this one.
     """
 
     available_tokens: int
@@ -124,37 +127,39 @@
     drawers: int
 
     def even_share_tokens(self) -> int:
-        """Return what each drawing router would have if all was shared evenly."""
+        """Return the unspent tokens divided evenly among the drawing routers."""
         unspent_tokens = self.available_tokens + self.granted_tokens
         return unspent_tokens // max(self.drawers, 1)
 
 
-def draw_tokens(policy: SizePolicy, state: GrantState, left: Remainder) -> Draw:
-    """Return how many tokens to draw of what the table has left."""
-    available_tokens = left.available_tokens
+def draw_tokens(policy: SizePolicy, state: GrantState, remainder: Remainder) -> Draw:
+    """Return how many of the available tokens to draw."""
+    available_tokens = remainder.available_tokens
     needed_tokens = _needed_tokens(state, available_tokens)
     if needed_tokens > available_tokens:
         return Draw(needed_tokens, needed_tokens, merges=True)
-    share_tokens = available_tokens // (_SHARE_DIVISOR * max(left.drawers, 1))
+    share_tokens = available_tokens // (_SHARE_DIVISOR * max(remainder.drawers, 1))
     match policy:
         case FixedSize(tokens):
             low = state.free_tokens < state.largest_bound_tokens
-            wish_tokens = tokens if low or needed_tokens else 0
-            size_tokens = min(wish_tokens, available_tokens)
-        case ProportionalSize(part):
+            requested_tokens = tokens if low or needed_tokens else 0
+            size_tokens = min(requested_tokens, available_tokens)
+        case ProportionalSize(fraction):
             low = state.free_tokens < state.largest_bound_tokens
-            wish_tokens = int(available_tokens * part)
-            size_tokens = wish_tokens if low or needed_tokens else 0
+            requested_tokens = int(available_tokens * fraction)
+            size_tokens = requested_tokens if low or needed_tokens else 0
         case DemandSize():
-            # No more than an even share, however large the account's reserve
-            # is: the first to draw would leave nothing for the others.
-            target_tokens = min(hand_target_tokens(state), left.even_share_tokens())
-            if target_tokens < state.largest_bound_tokens:
-                target_tokens = 0
-            low = state.free_tokens < target_tokens * _LOW_WATER
-            missing_tokens = max(target_tokens - state.free_tokens, 0)
+            # Limited to an even share, however long the account's reserve is. Otherwise
+            # the first router to draw would leave nothing for the others.
+            desired_tokens = min(
+                desired_free_tokens(state), remainder.even_share_tokens()
+            )
+            if desired_tokens < state.largest_bound_tokens:
+                desired_tokens = 0
+            low = state.free_tokens < desired_tokens * _LOW_WATERMARK
+            missing_tokens = max(desired_tokens - state.free_tokens, 0)
             size_tokens = min(missing_tokens, share_tokens)
-            if not low or size_tokens < target_tokens * _LEAST_PART:
+            if not low or size_tokens < desired_tokens * _MIN_DRAW_FRACTION:
                 size_tokens = 0
             if needed_tokens:
                 size_tokens = min(missing_tokens, share_tokens)
@@ -162,10 +167,9 @@
 
 
 def _needed_tokens(state: GrantState, available_tokens: int) -> int:
-    """Return what serves all who wait, else one of them, else nothing.
+    """Return the tokens for all waiting requests, else for the smallest, else 0.
 
-    Tokens drawn for a request that they do not suffice for would be missing
-    where they suffice.
+    Tokens drawn for a request that they do not cover would be missing elsewhere.
     """
     affordable_tokens = available_tokens + state.free_tokens
     for tokens in (state.wanted_tokens, state.smallest_wanted_tokens):
@@ -174,29 +178,31 @@
     return 0
 
 
-def idle_tokens(policy: SizePolicy, state: GrantState, left: Remainder | None) -> int:
-    """Return how many free tokens to give back to the budget.
+def returnable_tokens(
+    policy: SizePolicy, state: GrantState, remainder: Remainder | None
+) -> int:
+    """Return how many free tokens to return to the budget.
 
-    Only the demand-driven size knows what idle means; the others give back all
-    of a budget without demand.
+    Only the demand-driven policy returns surplus tokens; the others return tokens only
+    if the budget has no demand.
 
-    :param left: None where the table was not read just now.
+    :param remainder: None if the table was not read just now.
     """
-    if left is not None and isinstance(policy, DemandSize):
+    if remainder is not None and isinstance(policy, DemandSize):
         bound_tokens = max(state.largest_bound_tokens, state.smallest_wanted_tokens)
-        if left.even_share_tokens() < bound_tokens:
-            # The end of the budget: spread over the routers it would serve no
-            # request, and in the table it serves the next ones anywhere.
+        if remainder.even_share_tokens() < bound_tokens:
+            # Near the end of a budget, tokens spread over the routers would serve no
+            # request, while in the table they can serve the next request at any router.
             return state.free_tokens
     if state.wanted_tokens:
         return 0
-    target_tokens = hand_target_tokens(state)
-    if target_tokens == 0:
+    desired_tokens = desired_free_tokens(state)
+    if desired_tokens == 0:
         return state.free_tokens
     match policy:
         case DemandSize():
-            if left is not None:
-                target_tokens = min(target_tokens, left.even_share_tokens())
-            if state.free_tokens > target_tokens * _HIGH_WATER:
-                return state.free_tokens - target_tokens
+            if remainder is not None:
+                desired_tokens = min(desired_tokens, remainder.even_share_tokens())
+            if state.free_tokens > desired_tokens * _HIGH_WATERMARK:
+                return state.free_tokens - desired_tokens
     return 0
--- a/src/endivegw/budgets/transfer.py
+++ b/src/endivegw/budgets/transfer.py
@@ -1,9 +1,9 @@
-"""Move tokens between routers without the table.
+"""Transfer tokens between routers without the table.
 
-While the table is away, or a partition cuts routers off from it, tokens lie
-unused with one router and are missing at another. The donor debits before it
-answers and remembers its answer; the receiver credits once for an id. A message
-that is lost strands tokens until the grant is recovered; none creates any.
+While the table is unavailable, or unreachable for some routers because of a network
+partition, one router may hold unused tokens that another one lacks. The donor debits
+the tokens before it answers and caches its response; the receiver credits them once per
+id. A lost message strands tokens until the grant is recovered, but never creates any.
 """
 
 from __future__ import annotations
@@ -15,21 +15,27 @@
 from endivegw.results import Result
 from endivegw.types import BudgetKey, GrantId, InstanceId, TransferId
 
-__all__ = ["OfferMemory", "TransferAsk", "TransferOffer", "TransferPort"]
+__all__ = [
+    "ResponseCache",
+    "TokenTransferRequest",
+    "TokenTransferResponse",
+    "TokenTransferPort",
+]
 
-#: How long a donor remembers its answer. A receiver gives an id up long before,
-#: so that an id is never answered twice from two debits.
-OFFER_MEMORY_S = 600.0
+#: Seconds for which a donor caches its response. A receiver abandons an id long before,
+#: so an id is never debited twice.
+RESPONSE_RETENTION_S = 600.0
 
-#: The most remembered answers; at 64 bytes and a few per second far from a limit.
-_MAX_OFFERS = 20_000
+#: Maximum number of cached responses. At 64 bytes each and a few per second, the cache
+#: stays far below this limit.
+_MAX_RESPONSES = 20_000
 
 
 @frozen
-class TransferAsk:
-    """Ask a peer for tokens.
+class TokenTransferRequest:
+    """Request tokens from a peer.
 
-    :param transfer_id: chosen by the asker; the same in each repetition.
+    :param transfer_id: chosen by the requester; the same in each retry.
     """
 
     transfer_id: TransferId
@@ -38,10 +44,10 @@
 
 
 @frozen
-class TransferOffer:
-    """Answer an ask: the tokens are debited at the donor already.
+class TokenTransferResponse:
+    """Answer a transfer request; the donor has already debited the tokens.
 
-    :param tokens: 0 where the donor has none to spare.
+    :param tokens: 0 if the donor has no surplus.
     """
 
     transfer_id: TransferId
@@ -49,35 +55,35 @@
     tokens: int
 
 
-class TransferPort(Protocol):
-    """The other routers on this side of a partition."""
+class TokenTransferPort(Protocol):
+    """Access the other routers on this side of a network partition."""
 
     def peers(self) -> tuple[InstanceId, ...]:
-        """Return the routers that answered lately."""
+        """Return the routers that responded recently."""
 
-    async def ask(
-        self, peer: InstanceId, ask: TransferAsk, *, timeout_s: float
-    ) -> Result[TransferOffer]:
-        """Send an ask; unknown where no answer came, to be repeated as it is."""
+    async def transfer(
+        self, peer: InstanceId, transfer: TokenTransferRequest, *, timeout_s: float
+    ) -> Result[TokenTransferResponse]:
+        """Send a request; if the result is unknown, it may be retried unchanged."""
 
 
-class OfferMemory:
-    """Remember what was offered under which id, so that a double debits once."""
+class ResponseCache:
+    """Cache responses by transfer id, so that a retry is not debited again."""
 
     def __init__(self) -> None:
-        self._offers: dict[TransferId, tuple[float, TransferOffer]] = {}
+        self._responses: dict[TransferId, tuple[float, TokenTransferResponse]] = {}
 
-    def find(self, transfer_id: TransferId) -> TransferOffer | None:
-        """Return the earlier answer to the same ask."""
-        entry = self._offers.get(transfer_id)
+    def find(self, transfer_id: TransferId) -> TokenTransferResponse | None:
+        """Return the earlier response to a transfer id, or None."""
+        entry = self._responses.get(transfer_id)
         return entry[1] if entry else None
 
-    def keep(self, offer: TransferOffer, now_s: float) -> None:
-        """Remember an answer and drop old ones."""
-        self._offers[offer.transfer_id] = (now_s, offer)
-        while self._offers:
-            oldest = next(iter(self._offers))
-            is_old = now_s - self._offers[oldest][0] > OFFER_MEMORY_S
-            if not is_old and len(self._offers) <= _MAX_OFFERS:
+    def add(self, response: TokenTransferResponse, now_s: float) -> None:
+        """Store a response and evict expired ones."""
+        self._responses[response.transfer_id] = (now_s, response)
+        while self._responses:
+            oldest = next(iter(self._responses))
+            is_expired = now_s - self._responses[oldest][0] > RESPONSE_RETENTION_S
+            if not is_expired and len(self._responses) <= _MAX_RESPONSES:
                 return
-            del self._offers[oldest]
+            del self._responses[oldest]
--- a/src/endivegw/budgets/wallet.py
+++ b/src/endivegw/budgets/wallet.py
@@ -1,7 +1,7 @@
-"""What one router holds of one budget: grants, reservations, tokens in transit.
+"""Track the grants, reservations and in-transit tokens of one budget at a router.
 
-Pure state: each token of a grant is in exactly one place (free, reserved,
-consumed and not yet settled, in a write to the table, or lent to a peer).
+The classes perform no I/O. Each token of a grant is in exactly one state: free,
+reserved, consumed and not yet settled, in a write to the table, or lent to a peer.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 @frozen
 class Reservation:
-    """Hold tokens for one attempt.
+    """Represent the tokens reserved for one attempt.
 
     :param reservation_id: also the id of the attempt at its target.
-    :param grant_id: the grant that the sidecar counts the attempt under.
-    :param tokens: the sidecar ends generation here.
+    :param grant_id: the grant that the sidecar charges the attempt to.
+    :param tokens: the sidecar stops generation at this number.
     """
 
     reservation_id: AttemptId
@@ -33,11 +33,10 @@
 
 @frozen
 class GrantChange:
-    """Hold what one write to the table does to one grant.
+    """Represent what one table write does to one grant.
 
-    :param opens: the grant's row does not exist before.
-    :param closes_version: the row's version where the write deletes it, else
-        None.
+    :param opens: whether the write creates the grant's row.
+    :param closes_version: the row's version if the write deletes it, else None.
     """
 
     grant_id: GrantId
@@ -46,17 +45,17 @@
     closes_version: int | None = None
     draw_tokens: int = 0
     settle_tokens: int = 0
-    give_back_tokens: int = 0
+    return_tokens: int = 0
 
 
 @define
 class HeldGrant:
-    """Hold the tokens of one grant that are with this router.
+    """Hold the tokens of one grant at this router.
 
-    :ivar owned: drawn by this router; False where a peer lent the tokens.
-    :ivar version: version of the row as far as this router wrote it.
-    :ivar lent_tokens: handed to peers; they settle them themselves.
-    :ivar sealed: recovery took the grant over; nothing of it may be spent.
+    :ivar owned: whether this router drew the grant; False if a peer lent the tokens.
+    :ivar version: version of the grant's row as far as this router wrote it.
+    :ivar lent_tokens: transferred to peers, which settle them themselves.
+    :ivar sealed: whether recovery took the grant over, so that none of it may be spent.
     """
 
     grant_id: GrantId
@@ -72,20 +71,20 @@
 
     @property
     def is_empty(self) -> bool:
-        """Return whether none of its tokens are with this router."""
+        """Return whether none of its tokens are held by this router."""
         held = self.free_tokens + self.reserved_tokens
         return held + self.consumed_tokens + self.transit_tokens == 0
 
 
 @define
 class BudgetWallet:
-    """Hold one router's part of one budget.
+    """Hold the tokens of one budget at one router.
 
-    :ivar known_available_tokens: what the table had left when it was last
-        read, None before.
-    :ivar read_at_s: when that was.
-    :ivar counted: whether the budget's row counts this router as drawing.
-    :ivar unbilled_tokens: finished, and on no request's line yet.
+    :ivar known_available_tokens: tokens that the table had available when it was last
+        read, or None before the first read.
+    :ivar read_at_s: when the budget's row was last read.
+    :ivar counted_as_drawer: whether the budget's row counts this router as a drawer.
+    :ivar unbilled_tokens: charged by finished attempts but not yet on a bill line.
     """
 
     budget: BudgetKey
@@ -97,27 +96,27 @@
     smallest_wanted_tokens: int = 0
     known_available_tokens: int | None = None
     read_at_s: float = 0.0
-    counted: bool = False
+    counted_as_drawer: bool = False
     unbilled_tokens: int = 0
     used_at_s: float = 0.0
 
     @property
     def free_tokens(self) -> int:
-        """Return what may be reserved."""
+        """Return how many tokens may be reserved."""
         return sum(grant.free_tokens for grant in self.grants.values())
 
     @property
     def reserved_tokens(self) -> int:
-        """Return what attempts in flight hold."""
+        """Return how many tokens are reserved by running attempts."""
         return sum(grant.reserved_tokens for grant in self.grants.values())
 
     @property
     def consumed_tokens(self) -> int:
-        """Return what is consumed and not yet on its way to the table."""
+        """Return the consumed tokens that are not yet in a write to the table."""
         return sum(grant.consumed_tokens for grant in self.grants.values())
 
     def state(self, now_s: float) -> GrantState:
-        """Return what sizes are decided on."""
+        """Return the state on which draw sizes are based."""
         return GrantState(
             free_tokens=self.free_tokens,
             reserved_tokens=self.reserved_tokens,
@@ -128,12 +127,12 @@
             reserve_s=self.reserve_s,
         )
 
-    def take(
+    def reserve(
         self, reservation_id: AttemptId, bound_tokens: int, now_s: float
     ) -> Reservation | None:
-        """Reserve from the oldest grant that has enough, None where none has.
+        """Reserve from the oldest grant with enough free tokens; None if there is none.
 
-        The oldest goes first so that grants end and their rows are closed.
+        The oldest grant is used first so that grants become empty and are closed.
         """
         for grant in self.grants.values():
             if grant.sealed or grant.free_tokens < bound_tokens:
@@ -148,25 +147,25 @@
             return reservation
         return None
 
-    def give(
+    def end_reservation(
         self, reservation: Reservation, used_tokens: int, now_s: float
     ) -> int | None:
-        """End a reservation; return how many of its tokens are unsettled here.
+        """End a reservation and return how many of its tokens this router settles.
 
-        :returns: ``used_tokens``, or 0 where the grant is sealed, since
-            recovery settles those; None where the reservation ended before.
-        :raises InvariantError: where more was used than reserved.
+        :returns: ``used_tokens``, or 0 if the grant is sealed, since recovery settles
+            those; None if the reservation had ended before.
+        :raises InvariantError: if more was used than reserved.
         """
         if used_tokens > reservation.tokens:
             raise InvariantError(
-                f"attempt {reservation.reservation_id} used {used_tokens} tokens of "
-                f"a reservation of {reservation.tokens}"
+                f"attempt {reservation.reservation_id}: usage of {used_tokens} tokens "
+                f"exceeds its reservation of {reservation.tokens}"
             )
         if self.reservations.pop(reservation.reservation_id, None) is None:
             return None
         grant = self.grants[reservation.grant_id]
         grant.reserved_tokens -= reservation.tokens
-        self.demand.consumed(used_tokens, now_s)
+        self.demand.record_consumed(used_tokens, now_s)
         if grant.sealed:
             self._drop_if_empty(grant)
             return 0
@@ -182,23 +181,25 @@
         grant = self.grants.get(grant_id)
         if grant is None or grant.sealed:
             return 0
-        left_tokens = grant.consumed_tokens
+        recovered_tokens = grant.consumed_tokens
         grant.sealed = True
         grant.free_tokens = 0
         grant.consumed_tokens = 0
         grant.lent_tokens = 0
         self._drop_if_empty(grant)
-        return left_tokens
+        return recovered_tokens
 
-    def lend(self, wanted_tokens: int, keep_tokens: int) -> tuple[GrantId, int] | None:
-        """Debit tokens for a peer, None where there are none to spare.
+    def lend(
+        self, wanted_tokens: int, retained_tokens: int
+    ) -> tuple[GrantId, int] | None:
+        """Debit tokens for a peer; None if there is no surplus.
 
-        They come from the one grant with the most free tokens, since a
-        reservation cannot be split over two grants.
+        All tokens come from the grant with the most free tokens, since a reservation
+        cannot be split over two grants.
 
-        :param keep_tokens: what the own demand of the next moments needs.
+        :param retained_tokens: free tokens to keep for this router's near-term demand.
         """
-        spare_tokens = self.free_tokens - keep_tokens
+        surplus_tokens = self.free_tokens - retained_tokens
         largest = max(
             (grant for grant in self.grants.values() if not grant.sealed),
             key=lambda grant: grant.free_tokens,
@@ -206,7 +207,7 @@
         )
         if largest is None:
             return None
-        tokens = min(wanted_tokens, spare_tokens, largest.free_tokens)
+        tokens = min(wanted_tokens, surplus_tokens, largest.free_tokens)
         if tokens <= 0:
             return None
         largest.free_tokens -= tokens
@@ -214,7 +215,7 @@
         return largest.grant_id, tokens
 
     def borrow(self, grant_id: GrantId, tokens: int, now_s: float) -> None:
-        """Credit tokens that a peer has debited under its grant."""
+        """Credit tokens that a peer has debited from its grant."""
         grant = self.grants.get(grant_id)
         if grant is None:
             grant = HeldGrant(grant_id, owned=False, opened_at_s=now_s)
@@ -224,8 +225,11 @@
         grant.free_tokens += tokens
 
     def active_grant(self, now_s: float, rotate_s: float) -> HeldGrant | None:
-        """Return the own grant that further draws go to, None for a new one."""
-        young = [
+        """Return this router's grant that takes further draws, or None for a new one.
+
+        :param rotate_s: age from which a grant takes no further draws.
+        """
+        open_grants = [
             grant
             for grant in self.grants.values()
             if grant.owned
@@ -234,33 +238,33 @@
             and not grant.lent_tokens
             and now_s - grant.opened_at_s < rotate_s
         ]
-        return young[-1] if young else None
+        return open_grants[-1] if open_grants else None
 
-    def apply_void(self, change: GrantChange) -> int:
-        """Undo what a write that did not take effect has moved out.
+    def roll_back(self, change: GrantChange) -> int:
+        """Restore the tokens that a write without effect had debited.
 
-        :returns: consumed tokens that now belong to recovery.
+        :returns: consumed tokens that recovery settles instead.
         """
         grant = self.grants.get(change.grant_id)
         if grant is None or change.opens:
             return 0
-        grant.transit_tokens -= change.settle_tokens + change.give_back_tokens
+        grant.transit_tokens -= change.settle_tokens + change.return_tokens
         if grant.sealed:
             self._drop_if_empty(grant)
             return change.settle_tokens
         grant.consumed_tokens += change.settle_tokens
-        grant.free_tokens += change.give_back_tokens
+        grant.free_tokens += change.return_tokens
         return 0
 
     def apply_commit(self, change: GrantChange, now_s: float) -> None:
-        """Take in that a write has taken effect."""
+        """Apply a write that has taken effect."""
         if change.opens:
             grant = HeldGrant(change.grant_id, owned=True, opened_at_s=now_s)
             self.grants[change.grant_id] = grant
         else:
             grant = self.grants[change.grant_id]
         grant.version += 1
-        grant.transit_tokens -= change.settle_tokens + change.give_back_tokens
+        grant.transit_tokens -= change.settle_tokens + change.return_tokens
         if not grant.sealed:
             grant.free_tokens += change.draw_tokens
         if change.closes_version is not None:
@@ -268,28 +272,28 @@
         elif not grant.owned or grant.sealed:
             self._drop_if_empty(grant)
 
-    def move_out(
-        self, grant: HeldGrant, settle_tokens: int, give_back_tokens: int
+    def debit(
+        self, grant: HeldGrant, settle_tokens: int, return_tokens: int
     ) -> GrantChange:
-        """Debit what a write settles and gives back, before the write."""
-        if give_back_tokens > grant.free_tokens:
+        """Debit the tokens that a write settles and returns, before the write."""
+        if return_tokens > grant.free_tokens:
             raise InvariantError(
-                f"grant {grant.grant_id}: {give_back_tokens} tokens to give back "
-                f"and only {grant.free_tokens} free"
+                f"grant {grant.grant_id}: cannot return {return_tokens} tokens, only "
+                f"{grant.free_tokens} are free"
             )
         if settle_tokens > grant.consumed_tokens:
             raise InvariantError(
-                f"grant {grant.grant_id}: {settle_tokens} tokens to settle and "
-                f"only {grant.consumed_tokens} consumed"
+                f"grant {grant.grant_id}: cannot settle {settle_tokens} tokens, only "
+                f"{grant.consumed_tokens} were consumed"
             )
         grant.consumed_tokens -= settle_tokens
-        grant.free_tokens -= give_back_tokens
-        grant.transit_tokens += settle_tokens + give_back_tokens
+        grant.free_tokens -= return_tokens
+        grant.transit_tokens += settle_tokens + return_tokens
         return GrantChange(
             grant.grant_id,
             self.budget,
             settle_tokens=settle_tokens,
-            give_back_tokens=give_back_tokens,
+            return_tokens=return_tokens,
         )
 
     def _drop_if_empty(self, grant: HeldGrant) -> None:
--- a/src/endivegw/budgets/writer.py
+++ b/src/endivegw/budgets/writer.py
@@ -1,4 +1,4 @@
-"""A router's writes to the table, one at a time, each carrying all that is due."""
+"""Write the due changes of a router's budgets to the table, one batch at a time."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import anyio
 
-from endivegw.budgets.accounts import Account, AccountBook
+from endivegw.budgets.accounts import Account, AccountRegistry
 from endivegw.budgets.batch import Batch, BilledChunk
 from endivegw.budgets.bills import (
     BillDraft,
@@ -22,12 +22,12 @@
     read_budgets,
     read_grants,
 )
-from endivegw.budgets.options import KeeperOptions
+from endivegw.budgets.options import BudgetOptions
 from endivegw.budgets.planning import (
     Plan,
-    is_forgettable,
-    items_of,
-    next_look_s,
+    is_removable,
+    max_items_of,
+    next_check_s,
     plan_wallet,
     wants_draw,
     wants_write,
@@ -41,72 +41,74 @@
 
 __all__ = ["BudgetWriter"]
 
-#: Rows of a transaction that are not grants or budgets: the holder's and a bill's.
+#: Rows of a transaction other than grants and budgets: the holder's and a bill's.
 _FIXED_ITEMS = 2
 
-#: Rows of a transaction that grants and budgets may take.
-_ROOM_ITEMS = MAX_TRANSACTION_ITEMS - _FIXED_ITEMS
+#: Maximum rows of a transaction for grants and budgets.
+_MAX_PLAN_ITEMS = MAX_TRANSACTION_ITEMS - _FIXED_ITEMS
 
-#: Budgets read for one write; more would not fit it.
-_MAX_READS = _ROOM_ITEMS // 2
+#: Maximum budgets read for one write; more would not fit into it.
+_MAX_READS = _MAX_PLAN_ITEMS // 2
 
 EMPTY_DRAFT = BillDraft((), {}, {})
 
 
 class BudgetWriter:
-    """Compose, write and take in one batch after the other.
+    """Compose, write and apply one batch at a time.
 
-    :param short: called with a budget whose waiters the table cannot serve.
-    :ivar away_since_s: since when the table does not answer, None while it does.
+    :param on_shortage: called with an account whose waiting requests the table cannot
+        serve.
+    :ivar unavailable_since_s: when the table stopped answering, or None while it
+        answers.
     """
 
     def __init__(
         self,
-        book: AccountBook,
+        accounts: AccountRegistry,
         table: TablePort,
         instance_id: InstanceId,
         clock: Callable[[], float],
         rng: random.Random,
         log: EventLog,
-        options: KeeperOptions,
-        short: Callable[[Account], None],
+        options: BudgetOptions,
+        on_shortage: Callable[[Account], None],
     ) -> None:
-        self.away_since_s: float | None = None
-        self._book = book
+        self.unavailable_since_s: float | None = None
+        self._accounts = accounts
         self._table = table
         self._instance_id = instance_id
         self._clock = clock
         self._rng = rng
         self._log = log
         self._options = options
-        self._short = short
-        self._fences = 0
+        self._on_shortage = on_shortage
+        self._fence_count = 0
         self._next_grant = 0
         self._chunk_number = 0
         self._escrow = self._new_escrow()
         self._unwritten: tuple[Batch, Plan] | None = None
-        self._tries = 0
+        self._attempts = 0
         self._lock = anyio.Lock()
 
     @property
     def holder_exists(self) -> bool:
-        """Return whether the present holder has written to the table."""
+        """Return whether the current holder has written to the table."""
         return self._escrow.exists
 
     @property
     def holder(self) -> HolderId:
-        """Return the id under which this router draws at present."""
+        """Return the id under which this router currently draws grants."""
         return self._escrow.holder
 
     @property
     def has_unwritten(self) -> bool:
-        """Return whether a batch is on its way to the table."""
+        """Return whether a batch has no known outcome yet."""
         return self._unwritten is not None
 
     async def write_once(self, closing: bool) -> bool:
-        """Write what is due, or try again what was not answered.
+        """Write what is due, or retry the batch that was not answered.
 
-        :returns: whether the table was asked to write.
+        :returns: whether a write was sent to the table.
         """
         async with self._lock:
             if self._unwritten is None:
@@ -117,21 +119,22 @@
             return True
 
     async def _compose(self, now_s: float, closing: bool) -> tuple[Batch, Plan] | None:
-        """Choose what the next write carries; None where there is nothing."""
+        """Choose what the next write carries, or return None if nothing is due."""
         policy = self._options.policy
-        due = list(self._book) if closing else self._book.take_due(now_s)
+        due = list(self._accounts) if closing else self._accounts.pop_due(now_s)
         drawing = [
             account
             for account in due
             if not closing and wants_draw(policy, account.wallet, now_s)
         ]
-        # Budgets with requests that wait go first.
+        # Budgets with waiting requests come first.
         drawing.sort(key=lambda account: -account.wallet.wanted_tokens)
         for account in drawing[_MAX_READS:]:
-            self._book.touch(account)
+            self._accounts.mark_due(account)
         drawing = drawing[:_MAX_READS]
         rows = await self._read(drawing)
-        # From here on nothing waits: what is decided on is what is written.
+        # There must be no await from here on, so that the decisions match the written
+        # state.
         draft = self._draft(now_s, closing)
         plan = Plan(self._escrow.holder, self._next_grant)
         for account in self._in_order(draft, drawing, due):
@@ -140,13 +143,16 @@
             settle_tokens = draft.settle_tokens.get(wallet.budget, 0)
             wanted = row is not None or settle_tokens
             if not wanted and not wants_write(policy, wallet, now_s, closing):
-                self._look_later(account, now_s)
+                self._schedule_next_check(account, now_s)
                 continue
-            if not settle_tokens and plan.items() + items_of(wallet) > _ROOM_ITEMS:
-                self._book.touch(account)
+            if (
+                not settle_tokens
+                and plan.items() + max_items_of(wallet) > _MAX_PLAN_ITEMS
+            ):
+                self._accounts.mark_due(account)
                 continue
             plan_wallet(plan, policy, wallet, row, settle_tokens, now_s, closing)
-            self._look_later(account, now_s)
+            self._schedule_next_check(account, now_s)
         if not plan.changes and not draft.records:
             return None
         return self._batch(plan, draft, now_s), plan
@@ -155,7 +161,7 @@
         self._next_grant = plan.next_number
         for change in plan.changes:
             if change.opens:
-                self._book.opened(change.grant_id)
+                self._accounts.record_opened(change.grant_id)
         chunk: BilledChunk | None = None
         if draft.records:
             key = chunk_key(self._escrow.holder, self._chunk_number, now_s)
@@ -165,26 +171,27 @@
             tuple(plan.changes),
             tuple(plan.drawers.items()),
             chunk,
-            self._book.closed_below(plan.next_number),
+            self._accounts.closed_below(plan.next_number),
         )
 
     def _draft(self, now_s: float, closing: bool) -> BillDraft:
         """Return the bill records that are due."""
-        lines = self._book.lines
+        queue = self._accounts.bill_queue
         if closing:
-            self._bill_the_rest(now_s)
-        if lines.oldest_at_s is None:
+            self._bill_unbilled_tokens(now_s)
+        if queue.oldest_at_s is None:
             return EMPTY_DRAFT
-        waited_s = now_s - lines.oldest_at_s
+        waited_s = now_s - queue.oldest_at_s
         if waited_s < self._options.bill_flush_s and not closing:
             return EMPTY_DRAFT
-        return lines.draft(
-            _ROOM_ITEMS, lambda budget: items_of(self._book.get(budget).wallet)
+        return queue.draft(
+            _MAX_PLAN_ITEMS,
+            lambda budget: max_items_of(self._accounts.get(budget).wallet),
         )
 
-    def _bill_the_rest(self, now_s: float) -> None:
-        """Give use that no request's line names a record of its own."""
-        for account in self._book:
+    def _bill_unbilled_tokens(self, now_s: float) -> None:
+        """Add a separate record for use that is on no bill line."""
+        for account in self._accounts:
             wallet = account.wallet
             if wallet.unbilled_tokens:
                 record = BillRecord(
@@ -194,26 +201,26 @@
                     wallet.unbilled_tokens,
                     now_s,
                 )
-                self._book.lines.add(record, now_s)
+                self._accounts.bill_queue.add(record, now_s)
                 wallet.unbilled_tokens = 0
 
     def _in_order(
         self, draft: BillDraft, drawing: list[Account], due: list[Account]
     ) -> list[Account]:
-        """Return each account once: what is billed, who draws, the others."""
-        billed = [self._book.get(budget) for budget in draft.settle_tokens]
+        """Return each account once: billed ones, then drawing ones, then the rest."""
+        billed = [self._accounts.get(budget) for budget in draft.settle_tokens]
         return list(dict.fromkeys(billed + drawing + due))
 
-    def _look_later(self, account: Account, now_s: float) -> None:
+    def _schedule_next_check(self, account: Account, now_s: float) -> None:
         if account.waiters:
-            self._book.touch(account)
-        elif is_forgettable(account.wallet, now_s):
-            self._book.forget(account)
+            self._accounts.mark_due(account)
+        elif is_removable(account.wallet, now_s):
+            self._accounts.remove(account)
         else:
-            self._book.look_again(account, next_look_s(account.wallet, now_s))
+            self._accounts.schedule_check(account, next_check_s(account.wallet, now_s))
 
     async def _read(self, drawing: list[Account]) -> dict[BudgetKey, BudgetRow]:
-        """Read the rows of budgets to draw on; refuse what they cannot serve."""
+        """Read the rows of budgets to draw on and refuse requests they cannot serve."""
         if not drawing:
             return {}
         keys = tuple(account.wallet.budget for account in drawing)
@@ -221,82 +228,86 @@
             self._table, keys, timeout_s=self._options.table_timeout_s
         )
         if not isinstance(result, Done):
-            self._table_is_away("")
+            self._mark_table_unavailable("")
             for account in drawing:
-                self._short(account)
+                self._on_shortage(account)
             return {}
-        self._table_is_back()
+        self._mark_table_available()
         rows: dict[BudgetKey, BudgetRow] = {}
         for account, row in zip(drawing, result.value):
             if row is None:
                 self._refuse(account, Reason.BUDGET_UNKNOWN, None)
                 continue
             rows[row.budget] = row
-            self._look_at(account, row)
+            self._apply_budget_row(account, row)
         return rows
 
-    def _look_at(self, account: Account, row: BudgetRow) -> None:
-        """Note whether what is left can serve who waits."""
+    def _apply_budget_row(self, account: Account, row: BudgetRow) -> None:
+        """Record whether the available tokens can serve the waiting requests."""
         wallet = account.wallet
         wallet.known_available_tokens = row.available_tokens
         wallet.read_at_s = self._clock()
-        in_hand_tokens = wallet.free_tokens + row.available_tokens
+        usable_tokens = wallet.free_tokens + row.available_tokens
         account.exhausted = any(
-            waiter.bound_tokens > in_hand_tokens for waiter in account.waiters
+            waiter.bound_tokens > usable_tokens for waiter in account.waiters
         )
-        # Nothing that is prepaid and unspent anywhere could serve these; a wait
-        # for reservations in flight would be in vain.
+        # The unspent tokens of the whole budget could not serve these requests, so
+        # waiting for running reservations to end is useless.
         unspent_tokens = row.available_tokens + row.granted_tokens
         self._refuse(account, Reason.BUDGET_EXHAUSTED, unspent_tokens)
         if account.exhausted and account.waiters:
-            self._short(account)
+            self._on_shortage(account)
 
     @staticmethod
     def _refuse(account: Account, reason: Reason, above_tokens: int | None) -> None:
-        """Refuse those who wait, or only those who need more than so many."""
+        """Refuse waiting requests.
+
+        :param above_tokens: only those that need more than this number, or None for
+            all.
+        """
         for waiter in list(account.waiters):
             if above_tokens is None or waiter.bound_tokens > above_tokens:
                 detail = f"budget {account.wallet.budget}"
-                account.answer(waiter, Refused(reason, detail))
+                account.complete(waiter, Refused(reason, detail))
 
     async def _commit(self, batch: Batch, plan: Plan) -> None:
         state = await self._escrow.commit(
             batch, timeout_s=self._options.table_timeout_s, now_s=self._clock()
         )
-        self._tries += 1
+        self._attempts += 1
         now_s = self._clock()
         if state is CommitState.PENDING:
-            self._table_is_away(batch.operation_id)
+            self._mark_table_unavailable(batch.operation_id)
             for change in batch.changes:
                 if change.draw_tokens:
-                    self._short(self._book.get(change.budget))
+                    self._on_shortage(self._accounts.get(change.budget))
             return
         self._unwritten = None
-        self._table_is_back()
+        self._mark_table_available()
         match state:
             case CommitState.COMMITTED:
-                self._take_in(batch, plan, now_s)
-            case CommitState.VOID:
+                self._apply_commit(batch, plan, now_s)
+            case CommitState.ROLLED_BACK:
                 for change in batch.changes:
-                    self._book.undo(change, now_s)
+                    self._accounts.roll_back(change, now_s)
                     if change.opens:
-                        self._book.closed(change.grant_id)
+                        self._accounts.record_closed(change.grant_id)
                 await self._drop_sealed(batch, now_s)
             case CommitState.FENCED:
-                await self._start_anew(batch, plan, now_s)
-        self._tries = 0
+                await self._restart_as_new_holder(batch, plan, now_s)
+        self._attempts = 0
 
-    def _take_in(self, batch: Batch, plan: Plan, now_s: float) -> None:
+    def _apply_commit(self, batch: Batch, plan: Plan, now_s: float) -> None:
         for change in batch.changes:
-            account = self._book.get(change.budget)
+            account = self._accounts.get(change.budget)
             account.wallet.apply_commit(change, now_s)
             if change.closes_version is not None:
-                self._book.closed(change.grant_id)
-            account.serve(now_s)
+                self._accounts.record_closed(change.grant_id)
+            account.serve_waiters(now_s)
         for budget, delta in batch.drawers:
-            self._book.get(budget).wallet.counted = delta > 0
+            self._accounts.get(budget).wallet.counted_as_drawer = delta > 0
         if batch.chunk is not None:
-            self._book.lines.written(batch.chunk.draft, now_s)
+            self._accounts.bill_queue.mark_written(batch.chunk.draft, now_s)
             self._chunk_number += 1
         for draw in plan.draws:
             self._log.emit(
@@ -311,11 +322,11 @@
             operation_id=batch.operation_id,
             changes=len(batch.changes),
             lines=len(batch.chunk.draft.records) if batch.chunk else 0,
-            tries=self._tries,
+            tries=self._attempts,
         )
 
     async def _drop_sealed(self, batch: Batch, now_s: float) -> None:
-        """Find out whether a write failed because recovery sealed a grant."""
+        """Seal the grants whose rows show that recovery caused a failed write."""
         ids = tuple(change.grant_id for change in batch.changes if not change.opens)
         if not ids:
             return
@@ -326,44 +337,48 @@
             return
         for grant_id, row in zip(ids, result.value):
             if row is None or not row.open:
-                self._book.seal(grant_id)
+                self._accounts.seal(grant_id)
                 self._log.emit(events.GRANT_SEALED_HERE, grant_id=grant_id)
 
-    async def _start_anew(self, batch: Batch, plan: Plan, now_s: float) -> None:
-        """Drop all grants and draw under a new name from now on.
+    async def _restart_as_new_holder(
+        self, batch: Batch, plan: Plan, now_s: float
+    ) -> None:
+        """Drop all grants and draw under a new holder name from now on.
 
-        The router was taken for dead: paused, or cut off from the table. What
-        it held was settled and returned meanwhile, and the sidecars refuse it.
+        The router was considered dead while it was paused or partitioned from the
+        table. Its tokens were settled and returned in the meantime, and sidecars refuse
+        its work.
         """
-        if await self._took_effect(batch):
-            self._take_in(batch, plan, now_s)
+        if await self._was_committed(batch):
+            self._apply_commit(batch, plan, now_s)
         else:
             for change in batch.changes:
-                self._book.undo(change, now_s)
+                self._accounts.roll_back(change, now_s)
         grant_ids = [
-            grant_id for account in self._book for grant_id in account.wallet.grants
+            grant_id for account in self._accounts for grant_id in account.wallet.grants
         ]
-        dropped_tokens = sum(account.wallet.free_tokens for account in self._book)
+        dropped_tokens = sum(account.wallet.free_tokens for account in self._accounts)
         for grant_id in grant_ids:
-            self._book.seal(grant_id)
-        for account in self._book:
-            account.wallet.counted = False
+            self._accounts.seal(grant_id)
+        for account in self._accounts:
+            account.wallet.counted_as_drawer = False
         self._log.emit(
             events.HOLDER_FENCED,
             holder=self._escrow.holder,
             grants=len(grant_ids),
             tokens_dropped=dropped_tokens,
         )
-        self._fences += 1
+        self._fence_count += 1
         self._next_grant = 0
-        self._book.forget_grants()
+        self._accounts.clear_open_grants()
         self._escrow = self._new_escrow()
 
-    async def _took_effect(self, batch: Batch) -> bool:
-        """Find out whether the last write before the fence took effect.
+    async def _was_committed(self, batch: Batch) -> bool:
+        """Return whether the last write before the fence took effect.
 
-        It matters for bill records only: written twice they would charge twice.
-        Their row is new with the write, so its presence tells.
+        This matters only for bill records, which would charge twice if they were
+        written twice. The write creates their row, so the row exists if the write took
+        effect.
         """
         if batch.chunk is None:
             return False
@@ -376,17 +391,17 @@
             await anyio.sleep(self._options.retry_gap_s)
 
     def _new_escrow(self) -> HolderEscrow:
-        suffix = f"~{self._fences}" if self._fences else ""
+        suffix = f"~{self._fence_count}" if self._fence_count else ""
         holder = f"{self._instance_id}{suffix}"
         return HolderEscrow(self._table, self._instance_id, holder, self._rng)
 
-    def _table_is_away(self, operation_id: str) -> None:
-        if self.away_since_s is None:
-            self.away_since_s = self._clock()
+    def _mark_table_unavailable(self, operation_id: str) -> None:
+        if self.unavailable_since_s is None:
+            self.unavailable_since_s = self._clock()
             self._log.emit(events.BUDGET_TABLE_AWAY, operation_id=operation_id)
 
-    def _table_is_back(self) -> None:
-        if self.away_since_s is not None:
-            away_s = round(self._clock() - self.away_since_s, 3)
+    def _mark_table_available(self) -> None:
+        if self.unavailable_since_s is not None:
+            away_s = round(self._clock() - self.unavailable_since_s, 3)
             self._log.emit(events.BUDGET_TABLE_BACK, away_s=away_s)
-            self.away_since_s = None
+            self.unavailable_since_s = None
--- a/src/endivegw/composition/router.py
+++ b/src/endivegw/composition/router.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from endivegw.budgets import BudgetKeeper
+from endivegw.budgets import BudgetManager
 from endivegw.budgets.recovery import Recovery
 from endivegw.composition.process import Process, metrics_of, open_process
 from endivegw.configuration import Snapshot
@@ -41,7 +41,7 @@
         lambda name: EventLog("router", instance=name),
         reports=True,
         # The keeper is made below, out of what this call returns.
-        grant_holder=lambda: keeper.announced_holder,
+        grant_holder=lambda: budget_manager.announced_holder,
     )
     dispatcher = Dispatcher(
         Policy(block_tokens=PREFIX_SCHEME.block_tokens),
@@ -49,7 +49,7 @@
         process.rng,
     )
     queue = PlacementQueue(dispatcher, process.clock)
-    keeper = BudgetKeeper(
+    budget_manager = BudgetManager(
         process.identity.instance_id,
         process.platform.table,
         process.clock,
@@ -74,7 +74,7 @@
     )
     slots = SlotMapReader(process.platform.table, process.clock)
     runner = RunnerParts(
-        keeper=keeper,
+        budget_manager=budget_manager,
         queue=queue,
         sidecars=watch,
         claims=ClaimClient(slots, process.connect_owner, process.header),
@@ -98,12 +98,12 @@
         settings=settings,
         instance_id=process.identity.instance_id,
         configuration=process.configuration,
-        keeper=keeper,
+        budget_manager=budget_manager,
         queue=queue,
         watch=watch,
         routers=_router_watch(settings, process),
         recovery=_recovery_watch(settings, process, recovery, seals),
-        lent=LentGrants(keeper, recovery, seals, process.clock),
+        lent=LentGrants(budget_manager, recovery, seals, process.clock),
         slots=slots,
         runner=runner,
         book=process.book,
--- a/src/endivegw/daemons/held_attempts.py
+++ b/src/endivegw/daemons/held_attempts.py
@@ -12,7 +12,7 @@
 import anyio
 from attrs import evolve, frozen
 
-from endivegw.budgets import BudgetKeeper, Reservation
+from endivegw.budgets import BudgetManager, Reservation
 from endivegw.daemons.background import Background
 from endivegw.daemons.request_plan import RequestPlan
 from endivegw.daemons.sidecar_links import (
@@ -57,14 +57,14 @@
 
     def __init__(
         self,
-        keeper: BudgetKeeper,
+        budget_manager: BudgetManager,
         sidecars: SidecarDirectory,
         header: Callable[[], pb.Header],
         tasks: Background,
         clock: Callable[[], float],
         log: EventLog,
     ) -> None:
-        self._keeper = keeper
+        self._budget_manager = budget_manager
         self._sidecars = sidecars
         self._header = header
         self._tasks = tasks
@@ -76,7 +76,7 @@
     def add(self, held: HeldAttempt) -> None:
         """Keep the tokens reserved and find out in the background."""
         if held.reservation is not None:
-            self._keeper.hold(held.reservation, self._clock())
+            self._budget_manager.hold(held.reservation, self._clock())
         self.count += 1
         self._tasks.start_soon(self._resolve, held)
 
@@ -131,7 +131,7 @@
     def _charge(self, held: HeldAttempt, usage: Usage, how: str) -> None:
         self.count -= 1
         if held.reservation is not None:
-            self._keeper.resolve(held.reservation, usage, self._clock())
+            self._budget_manager.resolve(held.reservation, usage, self._clock())
         self._log.emit(
             events.ATTEMPT_RESOLVED,
             attempt_id=held.step.attempt_id,
--- a/src/endivegw/daemons/lent_grants.py
+++ b/src/endivegw/daemons/lent_grants.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from endivegw.budgets import BudgetKeeper
+from endivegw.budgets import BudgetManager
 from endivegw.budgets.recovery import Recovery
 from endivegw.daemons.seal_calls import SealCalls
 
@@ -22,12 +22,12 @@
 
     def __init__(
         self,
-        keeper: BudgetKeeper,
+        budget_manager: BudgetManager,
         recovery: Recovery,
         seals: SealCalls,
         clock: Callable[[], float],
     ) -> None:
-        self._keeper = keeper
+        self._budget_manager = budget_manager
         self._recovery = recovery
         self._seals = seals
         self._clock = clock
@@ -36,10 +36,10 @@
         """Look until cancelled."""
         while True:
             await anyio.sleep(_LOOK_S)
-            grants = self._keeper.stuck_grants(self._clock())
+            grants = self._budget_manager.stranded_grants(self._clock())
             if grants:
                 await self._seals.learn_targets()
             for grant_id in grants:
                 state = await self._recovery.recover_grant(grant_id)
                 if state.done:
-                    self._keeper.grant_recovered(grant_id)
+                    self._budget_manager.record_recovered_grant(grant_id)
--- a/src/endivegw/daemons/recovery_watch.py
+++ b/src/endivegw/daemons/recovery_watch.py
@@ -127,7 +127,7 @@
             last_turn = turn
             await self._look()
             if turn % self._options.sweep_every == 0:
-                await self._recovery.sweep()
+                await self._recovery.delete_expired_rows()
 
     async def _look(self) -> None:
         """Recover each holder whose router has ended."""
--- a/src/endivegw/daemons/request_money.py
+++ b/src/endivegw/daemons/request_money.py
@@ -6,7 +6,7 @@
 
 from attrs import define
 
-from endivegw.budgets import BudgetKeeper, Reservation
+from endivegw.budgets import BudgetManager, Reservation
 from endivegw.daemons.request_plan import RequestPlan
 from endivegw.requests.steps import HandOver
 from endivegw.results import Reason, Refused
@@ -35,10 +35,13 @@
     """
 
     def __init__(
-        self, plan: RequestPlan, keeper: BudgetKeeper, clock: Callable[[], float]
+        self,
+        plan: RequestPlan,
+        budget_manager: BudgetManager,
+        clock: Callable[[], float],
     ) -> None:
         self._plan = plan
-        self._keeper = keeper
+        self._budget_manager = budget_manager
         self._clock = clock
         self._in_hand: Reservation | None = None
         self._bound: dict[AttemptId, BoundReservation] = {}
@@ -58,7 +61,7 @@
         if bound_tokens == 0 or self._in_hand is not None:
             return None
         request = self._plan.request
-        reserved = await self._keeper.reserve(
+        reserved = await self._budget_manager.reserve(
             request.budget,
             bound_tokens,
             deadline_s=request.deadline_s,
@@ -85,7 +88,7 @@
         if refused.reason is not Reason.GRANT_SEALED or bound is None:
             return
         if bound.reservation is not None:
-            self._keeper.grant_sealed(bound.reservation.grant_id, self._clock())
+            self._budget_manager.grant_sealed(bound.reservation.grant_id, self._clock())
 
     def settle(self, charges: Mapping[AttemptId, Usage | None]) -> None:
         """Charge each attempt whose consumption is known by now."""
@@ -97,10 +100,10 @@
             if bound.reservation is None:
                 continue
             if usage == Usage():
-                self._keeper.release(bound.reservation, self._clock())
+                self._budget_manager.release(bound.reservation, self._clock())
                 continue
             self.finished_tokens += usage.total_tokens
-            self._keeper.finish(bound.reservation, usage, self._clock())
+            self._budget_manager.finish(bound.reservation, usage, self._clock())
 
     def unsettled(self) -> list[BoundReservation]:
         """Return the attempts whose consumption is not known."""
@@ -109,5 +112,5 @@
     def release(self) -> None:
         """Give back the tokens in hand."""
         if self._in_hand is not None:
-            self._keeper.release(self._in_hand, self._clock())
+            self._budget_manager.release(self._in_hand, self._clock())
             self._in_hand = None
--- a/src/endivegw/daemons/request_run.py
+++ b/src/endivegw/daemons/request_run.py
@@ -50,7 +50,7 @@
         self._sink = sink
         self._parts = parts
         self._held = held
-        self._money = RequestMoney(plan, parts.keeper, parts.clock)
+        self._money = RequestMoney(plan, parts.budget_manager, parts.clock)
         self._content = RequestContent(plan, parts.quarantine)
         self._driver = RequestDriver(machine, self, parts.clock)
         self._placed: Placement | None = None
@@ -249,7 +249,7 @@
             outcome=ending.outcome,
             ended_at_s=self._parts.clock(),
         )
-        self._parts.keeper.bill(line)
+        self._parts.budget_manager.bill(line)
 
     def _billed_identity(self) -> RequestIdentity:
         """Return a name for the line that no other request of any caller has.
--- a/src/endivegw/daemons/request_runner.py
+++ b/src/endivegw/daemons/request_runner.py
@@ -8,7 +8,7 @@
 
 from attrs import frozen
 
-from endivegw.budgets import BudgetKeeper
+from endivegw.budgets import BudgetManager
 from endivegw.daemons.background import Background
 from endivegw.daemons.claim_client import ClaimClient
 from endivegw.daemons.held_attempts import HeldAttempts
@@ -36,7 +36,7 @@
     :param on_header: takes the headers of answers, for the configuration.
     """
 
-    keeper: BudgetKeeper
+    budget_manager: BudgetManager
     queue: PlacementQueue
     sidecars: SidecarDirectory
     claims: ClaimClient
@@ -63,7 +63,7 @@
         self._background = background
         self._retries = RetryBudget(parts.retry_policy)
         self.held = HeldAttempts(
-            parts.keeper,
+            parts.budget_manager,
             parts.sidecars,
             parts.header,
             background,
--- a/src/endivegw/daemons/router.py
+++ b/src/endivegw/daemons/router.py
@@ -8,7 +8,7 @@
 from anyio.abc import TaskGroup, TaskStatus
 from attrs import frozen
 
-from endivegw.budgets import BudgetKeeper
+from endivegw.budgets import BudgetManager
 from endivegw.configuration.agent import ConfigurationAgent
 from endivegw.daemons.background import Background
 from endivegw.daemons.http_front import HttpFront
@@ -52,7 +52,7 @@
     settings: RouterSettings
     instance_id: InstanceId
     configuration: ConfigurationAgent
-    keeper: BudgetKeeper
+    budget_manager: BudgetManager
     queue: PlacementQueue
     watch: TargetWatch
     routers: RouterWatch
@@ -118,7 +118,7 @@
                 parts.lent.run,
                 parts.slots.run,
                 parts.queue.run,
-                parts.keeper.run,
+                parts.budget_manager.run,
                 parts.news.run,
                 parts.runner.quarantine.run,
             ):
@@ -160,7 +160,7 @@
                 await anyio.sleep(_DRAIN_LOOK_S)
         cut_off = self.in_progress
         with anyio.move_on_after(_CLOSE_BOUND_S):
-            await parts.keeper.close(parts.clock())
+            await parts.budget_manager.close(parts.clock())
         parts.log.emit(
             events.DAEMON_STOPPED,
             role="router",
@@ -185,7 +185,7 @@
     def _build_service(self) -> RouterService:
         parts = self._parts
         return RouterService(
-            parts.keeper,
+            parts.budget_manager,
             parts.configuration,
             parts.header,
             parts.on_header,
--- a/src/endivegw/daemons/router_service.py
+++ b/src/endivegw/daemons/router_service.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Callable, Protocol
 
-from endivegw.budgets import BudgetKeeper, TransferAsk
+from endivegw.budgets import BudgetManager, TokenTransferRequest
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.peers._generated.endivegw_peers_grpc import RouterBase
 from endivegw.types import BudgetKey, ClientAccountName, ConfigRevision, TransferId
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        keeper: BudgetKeeper,
+        budget_manager: BudgetManager,
         configuration: _HandsOutConfiguration,
         header: Callable[[], pb.Header],
         on_header: Callable[[pb.Header], None],
@@ -34,7 +34,7 @@
         on_news: Callable[[bytes], None],
         clock: Callable[[], float],
     ) -> None:
-        self._keeper = keeper
+        self._budget_manager = budget_manager
         self._configuration = configuration
         self._header = header
         self._on_header = on_header
@@ -53,12 +53,12 @@
         """Lend tokens; they are debited here before the answer leaves."""
         request = await stream.recv_message()
         self._on_header(request.header)
-        ask = TransferAsk(
+        ask = TokenTransferRequest(
             TransferId(request.transfer_id),
             BudgetKey(ClientAccountName(request.client_account), request.budget),
             request.wanted_tokens,
         )
-        offer = self._keeper.lend(ask, self._clock())
+        offer = self._budget_manager.lend(ask, self._clock())
         reply = pb.TransferReply(
             header=self._header(),
             transfer_id=offer.transfer_id,
--- a/src/endivegw/daemons/seal_calls.py
+++ b/src/endivegw/daemons/seal_calls.py
@@ -91,7 +91,7 @@
             client.close()
         return Done(_answer(reply))
 
-    def gone_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
+    def terminated_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
         """Return since when a sidecar's machine is off the list for good."""
         since_s = self._missing_since_s.get(vm_of_instance(sidecar))
         if since_s is None:
--- a/src/endivegw/daemons/sidecar.py
+++ b/src/endivegw/daemons/sidecar.py
@@ -223,7 +223,7 @@
         it has tokens in hand.
         """
         if holder and self._holders is not None and self._tasks is not None:
-            self._tasks.start_soon(self._holders.meet, holder)
+            self._tasks.start_soon(self._holders.prefetch_holder, holder)
 
     def _heartbeat(self) -> pb.HeartbeatReply:
         self._refresh_leaving()
--- a/src/endivegw/daemons/sidecar_ports.py
+++ b/src/endivegw/daemons/sidecar_ports.py
@@ -85,7 +85,7 @@
         :returns: why nothing can be admitted now, None where the gate decides.
         """
 
-    async def meet(self, holder: str) -> None:
+    async def prefetch_holder(self, holder: str) -> None:
         """Ask about a holder before its first work comes."""
 
 
--- a/src/endivegw/daemons/token_transfers.py
+++ b/src/endivegw/daemons/token_transfers.py
@@ -4,7 +4,7 @@
 
 from typing import Callable
 
-from endivegw.budgets import TransferAsk, TransferOffer
+from endivegw.budgets import TokenTransferRequest, TokenTransferResponse
 from endivegw.daemons.peer_book import PeerBook
 from endivegw.exceptions import PeerError
 from endivegw.peers import NotDelivered
@@ -30,19 +30,19 @@
         """Return the routers that were heard lately."""
         return self._book.routers(_HEARD_WITHIN_S)
 
-    async def ask(
-        self, peer: InstanceId, ask: TransferAsk, *, timeout_s: float
-    ) -> Result[TransferOffer]:
+    async def transfer(
+        self, peer: InstanceId, transfer: TokenTransferRequest, *, timeout_s: float
+    ) -> Result[TokenTransferResponse]:
         """Send an ask; unknown where no answer came, to be repeated as it is."""
         client = self._book.router(peer)
         if client is None:
             return Refused(Reason.UNREACHABLE, f"router {peer} is not known")
         request = pb.TransferRequest(
             header=self._header(),
-            transfer_id=ask.transfer_id,
-            client_account=ask.budget.client_account,
-            budget=ask.budget.budget,
-            wanted_tokens=ask.wanted_tokens,
+            transfer_id=transfer.transfer_id,
+            client_account=transfer.budget.client_account,
+            budget=transfer.budget.budget,
+            wanted_tokens=transfer.wanted_tokens,
         )
         try:
             reply = await client.transfer(request, timeout_s)
@@ -51,7 +51,7 @@
         except PeerError as error:
             return Unknown(Reason.ANSWER_LOST, error.message)
         return Done(
-            TransferOffer(
+            TokenTransferResponse(
                 TransferId(reply.transfer_id), GrantId(reply.grant_id), reply.tokens
             )
         )
--- a/tests/test_budgets_bill.py
+++ b/tests/test_budgets_bill.py
@@ -1,4 +1,4 @@
-"""An operator sees what was charged, and that it adds up."""
+"""Bill commands of the operator: charged tokens and their reconciliation."""
 
 import json
 import pathlib
@@ -11,7 +11,7 @@
 from anyio.from_thread import start_blocking_portal
 from click.testing import CliRunner
 
-from endivegw.budgets import BillLine, BudgetKeeper, top_up
+from endivegw.budgets import BillLine, BudgetManager, top_up
 from endivegw.budgets.bills import BillKind, BillRecord
 from endivegw.budgets.reconcile import reconcile
 from endivegw.budgets.rows import BudgetRow
@@ -31,20 +31,22 @@
 
 
 async def spend(table):
-    """Let one router answer two requests, one of them at the second try."""
+    """Answer two requests through one router, one of them at the second attempt."""
     await top_up(table, BUDGET, "op", 10_000, timeout_s=1, now_s=time.time())
-    keeper = BudgetKeeper(InstanceId("r1"), table, time.time, random.Random(1))
+    budget_manager = BudgetManager(InstanceId("r1"), table, time.time, random.Random(1))
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(keeper.run)
+        tasks.start_soon(budget_manager.run)
         for key, usages in (("a", [(40, 60)]), ("b", [(40, 7), (40, 80)])):
             for prompt, completion in usages:
                 now_s = time.time()
-                reservation = await keeper.reserve(
+                reservation = await budget_manager.reserve(
                     BUDGET, 300, deadline_s=now_s + 5, reserve_s=60.0, now_s=now_s
                 )
-                keeper.finish(reservation, Usage(prompt, completion), time.time())
+                budget_manager.finish(
+                    reservation, Usage(prompt, completion), time.time()
+                )
             lost_tokens = sum(sum(usage) for usage in usages[:-1])
-            keeper.bill(
+            budget_manager.bill(
                 BillLine(
                     RequestIdentity(BUDGET.client_account, key),
                     BUDGET,
@@ -54,7 +56,7 @@
                     time.time(),
                 )
             )
-        await keeper.close(time.time())
+        await budget_manager.close(time.time())
         tasks.cancel_scope.cancel()
 
 
@@ -79,8 +81,8 @@
         self.assertEqual(result.exit_code, 0, result.output)
         return result
 
-    def test_the_bill_names_each_request_once_and_agrees(self):
-        """Two requests, three attempts: two lines, and all tokens are charged."""
+    def test_bill_lists_each_request_once_and_agrees(self):
+        """Two requests with three attempts give two lines that charge all tokens."""
         result = self.run_command("budget", "bill", "lobby", "main", "--output", "json")
         lines = json.loads(result.stdout)
         self.assertEqual(
@@ -89,15 +91,15 @@
         )
         self.assertIn("settled and billed agree at 267 tokens", result.output)
 
-    def test_show_says_whether_all_is_billed(self):
-        """What is settled is compared with the bill, unless told otherwise."""
+    def test_show_reports_reconciliation(self):
+        """Settled tokens are compared with the bill unless this is disabled."""
         shown = self.run_command("budget", "show", "lobby", "main").output
         self.assertIn("settled and billed agree at 267 tokens", shown)
         short = self.run_command("budget", "show", "lobby", "main", "--no-reconcile")
         self.assertNotIn("agree", short.output)
 
-    def test_a_period_shows_only_its_lines(self):
-        """A bill of the future is empty, and the sums still agree."""
+    def test_period_limits_the_listed_lines(self):
+        """A bill of a future period has no lines, and the sums still agree."""
         arguments = ("budget", "bill", "lobby", "main", "--since", "2999-01-01")
         result = self.run_command(*arguments, "--output", "json")
         self.assertEqual(json.loads(result.stdout), [])
@@ -111,8 +113,8 @@
     def record(self, name, tokens):
         return BillRecord(BillKind.REQUEST, BUDGET, name, tokens, 0.0)
 
-    def test_a_missing_and_a_doubled_line_are_named(self):
-        """A difference is told to the token, and a doubled line outweighs it."""
+    def test_missing_and_duplicate_lines_are_reported(self):
+        """A difference is reported exactly; a duplicate line takes precedence."""
         short = reconcile(self.row(30), [self.record("a", 10)])
         self.assertEqual(short.sentence(), "20 tokens are settled and not billed yet")
         over = reconcile(self.row(5), [self.record("a", 10)])
