--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -1,4 +1,4 @@
-"""Budgets hold through deaths, pauses, partitions and lost answers."""
+"""Budgets stay consistent through crashes, pauses, partitions and lost answers."""
 
 import random
 import unittest
@@ -30,7 +30,7 @@
 
 
 async def budget_row(fleet, budget=BUDGET):
-    """Return a budget as the table has it."""
+    """Return the row of a budget."""
     result = await read_budgets(fleet.table, (budget,), timeout_s=1)
     return result.value[0]
 
@@ -43,7 +43,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """Run a fleet in virtual time, with one topped-up budget."""
+    """Run a fleet in virtual time with one topped-up budget."""
 
     def run_fleet(self, scenario, seed=1, tokens=50_000, **options):
         async def main():
@@ -64,7 +64,7 @@
         )
 
     async def send(self, fleet, routers, count, gap_s=0.1, **options):
-        """Send requests and return what became of each."""
+        """Send requests and return their outcomes."""
         outcomes = []
 
         async def one(router, number):
@@ -79,14 +79,14 @@
         return outcomes
 
     async def close_all(self, fleet):
-        """Let what runs end, and stop all routers as planned."""
+        """Wait until running work has ended, then close all routers as planned."""
         await anyio.sleep(60)
         for router in fleet.live_routers():
             with anyio.fail_after(120):
-                await router.keeper.close(fleet.clock())
+                await router.budget_manager.close(fleet.clock())
 
     async def assert_settled(self, fleet, exact=True):
-        """Compare the table with what the engines counted."""
+        """Compare the table with the tokens counted by the engines."""
         row = await budget_row(fleet)
         check_budget(row)
         consumed = fleet.consumed_tokens.get(BUDGET, 0)
@@ -100,8 +100,8 @@
 
 
 class FaultTests(FleetCase):
-    def test_a_planned_stop_settles_to_the_token(self):
-        """Nothing goes wrong: what engines counted is settled and billed."""
+    def test_planned_shutdown_settles_exactly(self):
+        """Without faults, the tokens counted by the engines are settled and billed."""
 
         async def scenario(fleet):
             outcomes = await self.send(fleet, fleet.routers, 60)
@@ -111,11 +111,10 @@
 
         self.run_fleet(scenario)
 
-    def test_a_dead_router(self):
-        """
-        A router's machine goes away while streams are open. Its callers lose
-        their connections; the account would miss the tokens that the router had
-        drawn, and the use of the open streams would never be charged.
+    def test_crashed_router_is_recovered(self):
+        """A router's machine fails while streams are open, so its callers lose their
+        connections. Without recovery, the account would lose the tokens that the router
+        had drawn, and the use of the open streams would never be charged.
         """
 
         async def scenario(fleet):
@@ -130,11 +129,10 @@
 
         self.run_fleet(scenario)
 
-    def test_a_paused_router_wakes_up(self):
-        """
-        A router stands still beyond its lease and its grants are recovered
-        meanwhile. It wakes up and believes in its grants; were its work run, the
-        account would spend the same tokens twice. Callers notice a retry.
+    def test_resumed_router_cannot_spend_recovered_grants(self):
+        """A router is paused beyond its lease and its grants are recovered. After it
+        resumes, it still uses these grants; if its work ran, the account would spend
+        the same tokens twice. Callers see only a retry.
         """
 
         async def scenario(fleet):
@@ -142,22 +140,21 @@
             await self.send(fleet, fleet.routers, 30)
             paused.pause()
             self.assertIsNotNone(await fleet.recover(paused.instance_id))
-            in_hand = paused.keeper.tokens_in_hand(BUDGET)
-            self.assertGreater(in_hand, 0)
+            free_tokens = paused.budget_manager.free_tokens_of(BUDGET)
+            self.assertGreater(free_tokens, 0)
             paused.resume()
             outcomes = await self.send(fleet, [paused], 10)
             self.assertEqual(set(outcomes), {Outcome.ANSWERED})
-            self.assertEqual(paused.keeper.holder, "r0~1")
+            self.assertEqual(paused.budget_manager.holder, "r0~1")
             await self.close_all(fleet)
             await self.assert_settled(fleet)
 
         self.run_fleet(scenario)
 
-    def test_a_fresh_sidecar_refuses_a_recovered_holder(self):
-        """
-        A sidecar is restarted after a router's grants were recovered, and knows
-        nothing of the seal. The router wakes up and finds it willing, unless it
-        asks the table first.
+    def test_restarted_sidecar_refuses_recovered_holder(self):
+        """Sidecars are restarted after the grants of a paused router were recovered, so
+        they do not know of the seal. They would admit the work of the resumed router
+        unless they read the state of the holder from the table first.
         """
 
         async def scenario(fleet):
@@ -172,7 +169,7 @@
                 fleet.add_sidecar(sidecar.target)
             await anyio.sleep(1)
             paused.resume()
-            grant_id = next(iter(next(iter(paused.keeper.wallets())).grants))
+            grant_id = next(iter(next(iter(paused.budget_manager.wallets())).grants))
             refused = await fleet.all_sidecars[-1].gate.admit(
                 grant_id, BUDGET, "late", 10, fleet.clock()
             )
@@ -183,11 +180,10 @@
 
         self.run_fleet(scenario)
 
-    def test_an_unreachable_sidecar_keeps_its_share_held_back(self):
-        """
-        A router dies while one sidecar is cut off, so nobody can tell what the
-        sidecar consumed. Returning the rest would let it be spent twice; the
-        account misses it until the sidecar answers.
+    def test_unreachable_sidecar_keeps_tokens_in_escrow(self):
+        """A router dies while one sidecar is unreachable, so the use at that sidecar is
+        unknown. If the remaining tokens were returned, they could be spent twice; they
+        stay in escrow until the sidecar answers.
         """
 
         async def scenario(fleet):
@@ -204,11 +200,10 @@
 
         self.run_fleet(scenario)
 
-    def test_a_router_and_a_sidecar_die_together(self):
-        """
-        A rack goes, and with it a router and a sidecar that ran its work. What
-        the sidecar consumed since its last checkpoint is known to nobody; the
-        grant's rest is charged, which the account's bill names.
+    def test_router_and_sidecar_crash_together(self):
+        """A rack fails, and with it a router and a sidecar that ran its work. The
+        tokens that the sidecar consumed after its last checkpoint are unknown, so the
+        rest of the grant is charged and appears on the bill.
         """
 
         async def scenario(fleet):
@@ -218,17 +213,16 @@
                 await anyio.sleep(3)
                 lost.die()
                 fleet.kill(dead)
-                lost.gone_at_s = fleet.clock()
+                lost.terminated_at_s = fleet.clock()
             self.assertIsNotNone(await fleet.recover(dead.instance_id))
             await self.close_all(fleet)
             await self.assert_settled(fleet, exact=False)
 
         self.run_fleet(scenario)
 
-    def test_the_table_is_away_for_ten_minutes(self):
-        """
-        The table does not answer for ten minutes. Callers notice nothing while
-        the routers have tokens in hand for that long.
+    def test_table_outage_of_ten_minutes_refuses_nothing(self):
+        """The table does not answer for ten minutes. No request is refused while the
+        routers hold enough tokens for that period.
         """
 
         async def scenario(fleet):
--- a/tests/test_budgets_machine.py
+++ b/tests/test_budgets_machine.py
@@ -1,4 +1,4 @@
-"""Randomised runs: whatever fails together, no budget is overspent."""
+"""Randomized runs with combined faults; no budget may be overspent."""
 
 import asyncio
 import os
@@ -32,14 +32,14 @@
 ROUTERS = st.integers(0, 2)
 SIDECARS = st.integers(0, 2)
 
-#: How many examples and steps one run takes; the soak asks for more.
+#: Number of examples and steps of one run; the soak test sets higher values.
 EXAMPLES = int(os.environ.get("ENDIVEGW_SOAK_EXAMPLES", "25"))
 STEPS = int(os.environ.get("ENDIVEGW_SOAK_STEPS", "25"))
 SEED = int(os.environ.get("ENDIVEGW_SOAK_SEED", "20"))
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Drive a fleet in virtual time and hold it against the engines' count."""
+    """Drive a fleet in virtual time and compare it with the engines' token counts."""
 
     def __init__(self):
         super().__init__()
@@ -53,7 +53,7 @@
 
     @initialize(number=st.integers(0, 2**32), transfers=st.booleans())
     def start(self, number, transfers):
-        """Begin with three routers, three sidecars and topped-up budgets."""
+        """Start three routers, three sidecars and topped-up budgets."""
         self.commands = asyncio.Queue()
         self.main = self.loop.create_task(self._main(number, transfers))
         self._do(self._top_up_first)
@@ -102,7 +102,7 @@
         return result
 
     def _check(self):
-        """Compare consumption and rows with what was prepaid, at each step."""
+        """Compare consumption and rows with the prepaid tokens after each step."""
         self.assert_no_errors()
         for budget in BUDGETS:
             page = self.fleet.table.page("budget", str(budget), None, 1)
@@ -117,7 +117,7 @@
             assert consumed <= topped_up, f"{budget}: {consumed} of {topped_up}"
 
     def assert_no_errors(self):
-        """Fail where a task of the fleet ended with an error."""
+        """Fail if a task of the fleet ended with an error."""
         assert not self.errors, self.errors
 
     def _router(self, index):
@@ -133,17 +133,19 @@
         budget=st.sampled_from(BUDGETS),
         count=st.integers(1, 12),
         tokens=st.integers(50, 400),
-        loose=st.integers(0, 300),
+        excess_tokens=st.integers(0, 300),
         wait_s=st.sampled_from([0.05, 1.0, 8.0]),
     )
-    def send(self, router, budget, count, tokens, loose, wait_s):
+    def send(self, router, budget, count, tokens, excess_tokens, wait_s):
         """Send a burst of requests through one router."""
 
         async def command():
             target = self._router(router)
             for _ in range(count):
                 self.sent += 1
-                work = Work(f"k{self.sent}", budget, tokens + loose, 20, tokens - 20)
+                work = Work(
+                    f"k{self.sent}", budget, tokens + excess_tokens, 20, tokens - 20
+                )
                 self.fleet.tasks.start_soon(self._one, target, work)
             await anyio.sleep(wait_s)
 
@@ -154,7 +156,7 @@
 
     @rule(duration_s=st.sampled_from([0.5, 5.0, 40.0, 300.0]))
     def let_time_pass(self, duration_s):
-        """Let what runs go on."""
+        """Advance the virtual time while running work continues."""
 
         async def command():
             await anyio.sleep(duration_s)
@@ -166,7 +168,7 @@
         kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]),
     )
     def table_fault(self, router, kind):
-        """Break or mend the way from one router to the table."""
+        """Set or clear a fault between one router and the table."""
 
         async def command():
             _set_fault(self._router(router).faults, kind)
@@ -178,7 +180,7 @@
         kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]),
     )
     def sidecar_table_fault(self, sidecar, kind):
-        """Break or mend the way from one sidecar to the table."""
+        """Set or clear a fault between one sidecar and the table."""
 
         async def command():
             _set_fault(self._sidecar(sidecar).faults, kind)
@@ -186,8 +188,8 @@
         self._do(command)
 
     @rule(away=st.booleans(), duration_s=st.sampled_from([1.0, 60.0, 600.0]))
-    def whole_table_outage(self, away, duration_s):
-        """Take the table away from all, or give it back."""
+    def table_outage(self, away, duration_s):
+        """Start or end an outage of the table for all routers and sidecars."""
 
         async def command():
             for one in self.fleet.live_routers() + self.fleet.all_sidecars:
@@ -198,7 +200,7 @@
 
     @rule(kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]))
     def operator_fault(self, kind):
-        """Break or mend the operator's and the recovery's way to the table."""
+        """Set or clear a fault between the table and both operators and recovery."""
 
         async def command():
             _set_fault(self.fleet.operator_faults, kind)
@@ -211,7 +213,7 @@
         times=st.integers(1, 3),
     )
     def racing_top_ups(self, budget, operation, times):
-        """Let operators race with the same command."""
+        """Run the same top-up command concurrently."""
 
         async def command():
             async with anyio.create_task_group() as tasks:
@@ -222,8 +224,8 @@
         self._do(command)
 
     @rule(router=ROUTERS, sidecar=SIDECARS)
-    def cut_link(self, router, sidecar):
-        """Cut or mend the way from a router to a sidecar."""
+    def disconnect_link(self, router, sidecar):
+        """Disconnect a router from a sidecar, or reconnect them."""
 
         async def command():
             cut_from = self._router(router).cut_from
@@ -232,8 +234,8 @@
         self._do(command)
 
     @rule(one=ROUTERS, other=ROUTERS)
-    def cut_peers(self, one, other):
-        """Cut or mend the way between two routers."""
+    def disconnect_peers(self, one, other):
+        """Partition two routers from each other, or reconnect them."""
 
         async def command():
             pair = {self._router(one).instance_id, self._router(other).instance_id}
@@ -243,7 +245,7 @@
 
     @rule(router=ROUTERS, lose=st.booleans(), double=st.booleans())
     def peer_faults(self, router, lose, double):
-        """Lose or double what a router asks of its peers."""
+        """Lose or duplicate the transfer requests of a router."""
 
         async def command():
             link = self._router(router).peers
@@ -254,8 +256,8 @@
         self._do(command)
 
     @rule(sidecar=SIDECARS)
-    def cut_seals(self, sidecar):
-        """Cut or mend the way from recovery to a sidecar."""
+    def disconnect_seals(self, sidecar):
+        """Disconnect recovery from a sidecar, or reconnect them."""
 
         async def command():
             target = self._sidecar(sidecar).target
@@ -265,20 +267,20 @@
 
     @rule(router=ROUTERS, recover=st.booleans())
     def kill_router(self, router, recover):
-        """Kill a router and start another, with or without a recovery at once."""
+        """Kill a router and start another, with or without immediate recovery."""
 
         async def command():
-            victim = self._router(router)
-            self.fleet.kill(victim)
+            stopped = self._router(router)
+            self.fleet.kill(stopped)
             self.fleet.add_router()
             if recover:
-                await self.fleet.recover(victim.instance_id, within_s=20)
+                await self.fleet.recover(stopped.instance_id, within_s=20)
 
         self._do(command)
 
     @rule(router=ROUTERS, racers=st.integers(1, 2))
     def pause_beyond_the_lease(self, router, racers):
-        """Pause a router, recover it as dead by one or two others, wake it up."""
+        """Pause a router, recover it by one or two other routers, then resume it."""
 
         async def command():
             paused = self._router(router)
@@ -295,35 +297,35 @@
 
     @rule(sidecar=SIDECARS, planned=st.booleans(), known=st.booleans())
     def restart_sidecar(self, sidecar, planned, known):
-        """Restart a sidecar, as planned or by a crash."""
+        """Restart a sidecar after a planned shutdown or a crash."""
 
         async def command():
-            victim = self._sidecar(sidecar)
-            if planned and not victim.running:
+            stopped = self._sidecar(sidecar)
+            if planned and not stopped.running:
                 with anyio.move_on_after(20) as scope:
-                    await victim.gate.close()
-                planned_done = not scope.cancelled_caught and not victim.running
+                    await stopped.gate.close()
+                planned_done = not scope.cancelled_caught and not stopped.running
             else:
                 planned_done = False
-            victim.die()
+            stopped.die()
             if not planned_done:
                 self.lost_sidecars = True
             if known or planned_done:
-                victim.gone_at_s = self.fleet.clock()
-            self.fleet.add_sidecar(victim.target)
+                stopped.terminated_at_s = self.fleet.clock()
+            self.fleet.add_sidecar(stopped.target)
 
         self._do(command)
 
     def teardown(self):
-        """Mend everything, recover the dead, stop the rest: it must add up."""
+        """Clear all faults, close and recover the routers and check the totals."""
         if not hasattr(self, "main"):
             self.loop.close()
             return
         try:
             if not self.main.done():
-                self._do(self._mend)
-                self._do(self._end)
-                self._do(self._compare)
+                self._do(self._heal_faults)
+                self._do(self._stop_all)
+                self._do(self._check_totals)
         finally:
             self.main.cancel()
             asyncio.set_event_loop(None)
@@ -332,7 +334,7 @@
             )
             self.loop.close()
 
-    async def _mend(self):
+    async def _heal_faults(self):
         fleet = self.fleet
         fleet.unsealable.clear()
         fleet.partitions.clear()
@@ -343,20 +345,20 @@
             router.resume()
         for sidecar in fleet.all_sidecars:
             _set_fault(sidecar.faults, "heal")
-            if not sidecar.alive and sidecar.gone_at_s is None:
-                sidecar.gone_at_s = fleet.clock()
+            if not sidecar.alive and sidecar.terminated_at_s is None:
+                sidecar.terminated_at_s = fleet.clock()
         await anyio.sleep(120)
 
-    async def _end(self):
+    async def _stop_all(self):
         fleet = self.fleet
         for router in fleet.live_routers():
             with anyio.fail_after(300):
-                await router.keeper.close(fleet.clock())
+                await router.budget_manager.close(fleet.clock())
         for router in fleet.routers:
             took_s = await fleet.recover(router.instance_id)
             assert took_s is not None, f"{router.instance_id} is not recovered"
 
-    async def _compare(self):
+    async def _check_totals(self):
         fleet = self.fleet
         assert not fleet.table.page(GRANT_PARTITION, "", None, 10).rows
         result = await read_budgets(fleet.table, BUDGETS, timeout_s=1)
@@ -371,9 +373,9 @@
             found = reconcile(row, records)
             assert not found.doubled, found.doubled
             assert found.difference_tokens == 0, found
-        self._compare_lines([one async for one in read_bill(fleet.table)])
+        self._check_bill_lines([one async for one in read_bill(fleet.table)])
 
-    def _compare_lines(self, records):
+    def _check_bill_lines(self, records):
         live = {router.instance_id for router in self.fleet.live_routers()}
         billed = {one.name for one in records if one.kind.value == "request"}
         assert len(live) == 3
@@ -381,11 +383,11 @@
             if isinstance(outcome, Refused):
                 assert key not in billed, f"{key} was refused and billed"
                 assert outcome.reason is not Reason.BUDGET_UNKNOWN
-            elif outcome is Outcome.ANSWERED and not self._died_with(key):
+            elif outcome is Outcome.ANSWERED and not self._line_may_be_lost(key):
                 assert key in billed, f"{key} was answered and not billed"
 
-    def _died_with(self, key):
-        """Return whether a request's line may have died with its router."""
+    def _line_may_be_lost(self, key):
+        """Return whether the bill line of a request may be lost with its router."""
         return any(not router.alive for router in self.fleet.routers)
 
 
@@ -397,11 +399,10 @@
 
 
 class BudgetMachineTests(unittest.TestCase):
-    def test_no_run_overspends_and_all_add_up(self):
-        """
-        Routers die or stand still, links and the table fail, answers are lost,
-        late or doubled, operators race: in each run the engines never consume
-        more than was prepaid, and in the end rows and bill add up to the token.
+    def test_random_runs_never_overspend_and_reconcile(self):
+        """Routers crash or pause, links and the table fail, answers are lost, delayed
+        or duplicated, and operators race. In each run the engines never consume more
+        than was prepaid, and in the end rows and bill agree exactly.
         """
         run_state_machine_as_test(
             seed(SEED)(BudgetMachine),
@@ -416,11 +417,10 @@
 
 
 class TopUpRaceTests(unittest.TestCase):
-    def test_operators_race_on_a_new_budget(self):
-        """
-        Two operators top a new budget up at the same moment, one of them twice
-        since the first answer was lost. A budget that counted a repetition
-        would hold tokens that nobody paid for.
+    def test_concurrent_top_ups_of_a_new_budget_add_once(self):
+        """Two operators top up a new budget at the same time, both repeating their
+        command after a lost answer. If a repetition were counted, the budget would hold
+        tokens that nobody paid for.
         """
 
         async def main():
--- a/tests/test_request_body.py
+++ b/tests/test_request_body.py
@@ -68,7 +68,7 @@
 
     queue = FakeQueue()
     parts = RunnerParts(
-        keeper=SimpleNamespace(),
+        budget_manager=SimpleNamespace(),
         queue=queue,
         sidecars=SimpleNamespace(find=lambda target: SidecarLink(sidecar, "i.0")),
         claims=SimpleNamespace(),
