--- a/benchmarks/capacity/projection.py
+++ b/benchmarks/capacity/projection.py
@@ -9,7 +9,7 @@
 from benchmarks.capacity.path_cost import IdleCost, PathCost
 
 from endivegw.membership import MembershipPolicy
-from endivegw.targets.order_keeper import KeeperPolicy
+from endivegw.targets.order_manager import OrderPolicy
 
 __all__ = ["Figure", "Letter", "Measured", "project"]
 
@@ -246,7 +246,7 @@
     sidecar_reads = idle.reads_per_sidecar.slope * letter.sidecars
     busiest = max(measured.path.rows, key=lambda row: row.requests_per_s)
     router_writes = max(busiest.writes_per_s - idle.writes_per_s, 0.0)
-    orders = letter.sidecars / KeeperPolicy().poll_s
+    orders = letter.sidecars / OrderPolicy().poll_s
     return [
         Figure(
             "table",
--- a/src/endivegw/composition/direct_router.py
+++ b/src/endivegw/composition/direct_router.py
@@ -30,7 +30,7 @@
 from endivegw.quarantine import Evidence, QuarantineManager, TargetStart
 from endivegw.relay.context import RelayContext
 from endivegw.relay.handler import RequestHandler
-from endivegw.relay.target_ends import TargetEnds
+from endivegw.relay.target_ends import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
 from endivegw.relay.wire import WirePort
 from endivegw.services.measured_rows import MeasuredRows
@@ -129,7 +129,9 @@
         allowances=allowances,
         queue=PlacementQueue(dispatcher, clock),
         pool=pool,
-        ends=TargetEnds(pool, quarantine.record_termination, clock, log),
+        terminations=TerminationDetector(
+            pool, quarantine.record_termination, clock, log
+        ),
         quarantine=quarantine,
         retries=RetryBudget(RetryPolicy(settings.retry_share, settings.retry_burst)),
         rng=rng,
@@ -212,12 +214,12 @@
     metrics.gauge(
         "configuration_age_seconds",
         "Time since the version came into force.",
-        lambda: context.clock() - context.table_since_s,
+        lambda: context.clock() - context.table_active_since_s,
     )
     metrics.gauge(
         "target_connections_opened",
         "Connections opened to targets so far.",
-        lambda: context.pool.opened,
+        lambda: context.pool.connections_opened,
     )
 
 
--- a/src/endivegw/composition/sidecar.py
+++ b/src/endivegw/composition/sidecar.py
@@ -19,7 +19,7 @@
 from endivegw.settings import SidecarSettings, TargetSettings
 from endivegw.targets.http_service import HttpService
 from endivegw.targets.openai_engine import OpenAiEngine
-from endivegw.targets.order_keeper import KeeperPolicy, OrderKeeper
+from endivegw.targets.order_manager import OrderManager, OrderPolicy
 from endivegw.targets.weight_slots import WeightShare
 from endivegw.telemetry import EventLog
 
@@ -122,11 +122,11 @@
 
 def _open_orders(
     settings: SidecarSettings, process: Process, adapter: Adapter
-) -> OrderKeeper | None:
+) -> OrderManager | None:
     """Return what carries out orders; None for a plain service, which has none."""
     if not isinstance(adapter, OpenAiEngine):
         return None
-    return OrderKeeper(
+    return OrderManager(
         settings.target.target,
         process.identity.instance_id,
         adapter,
@@ -134,7 +134,7 @@
         process.platform.weights,
         process.log,
         checks_fence=settings.target.checks_fence,
-        policy=KeeperPolicy(
+        policy=OrderPolicy(
             table_timeout_s=settings.platform.timeout_s,
             share=WeightShare(
                 settings.platform.weight_bytes_per_s,
--- a/src/endivegw/daemons/direct_beliefs.py
+++ b/src/endivegw/daemons/direct_beliefs.py
@@ -92,7 +92,7 @@
         if table is not None and configuration.version <= table.version:
             return
         self._context.table = RoutingTable(configuration)
-        self._context.table_since_s = self._context.clock()
+        self._context.table_active_since_s = self._context.clock()
         self._log.emit(
             events.CONFIGURATION_IN_FORCE,
             version=configuration.version,
--- a/src/endivegw/daemons/direct_router.py
+++ b/src/endivegw/daemons/direct_router.py
@@ -16,7 +16,7 @@
 from endivegw.decisions import LoadFigures, LocalLoad
 from endivegw.gossip import PeerLink
 from endivegw.gossip.peers import PEERS_TABLE
-from endivegw.relay.caller_connection import Answerer, CallerConnection, Handler
+from endivegw.relay.caller_connection import AnswerWriter, CallerConnection, Handler
 from endivegw.relay.context import RelayContext
 from endivegw.relay.messages import CallerRequest
 from endivegw.routing import CallerLimits
@@ -207,19 +207,19 @@
         table = self._parts.context.table
         return table.limits if table is not None else CallerLimits()
 
-    async def _say_ready(self, request: CallerRequest, answerer: Answerer) -> None:
+    async def _say_ready(self, request: CallerRequest, writer: AnswerWriter) -> None:
         if request.path != "/ready":
-            await answerer.whole(_NOT_FOUND, [], b"")
+            await writer.send_complete(_NOT_FOUND, [], b"")
             return
-        await answerer.whole(_OK if self.ready else _UNAVAILABLE, [], b"")
+        await writer.send_complete(_OK if self.ready else _UNAVAILABLE, [], b"")
 
-    async def _show(self, request: CallerRequest, answerer: Answerer) -> None:
+    async def _show(self, request: CallerRequest, writer: AnswerWriter) -> None:
         """Answer with the page of metrics."""
         if request.path != "/metrics":
-            await answerer.whole(_NOT_FOUND, [], b"")
+            await writer.send_complete(_NOT_FOUND, [], b"")
             return
         fields = [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")]
-        await answerer.whole(_OK, fields, self._parts.context.metrics.page())
+        await writer.send_complete(_OK, fields, self._parts.context.metrics.page())
 
     async def _tell_load(self) -> None:
         """Show the dispatcher what the other routers have at the targets."""
--- a/src/endivegw/daemons/sidecar_process.py
+++ b/src/endivegw/daemons/sidecar_process.py
@@ -16,7 +16,7 @@
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.peers import PeerSecurity
 from endivegw.settings import SidecarSettings
-from endivegw.targets.order_keeper import OrderKeeper
+from endivegw.targets.order_manager import OrderManager
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue import daemons as events
 from endivegw.types import InstanceId
@@ -53,7 +53,7 @@
     desk: SlotDesk
     target: _Closable
     security: PeerSecurity
-    orders: OrderKeeper | None
+    orders: OrderManager | None
     book: PeerBook
     log: EventLog
 
--- a/src/endivegw/daemons/target_reader.py
+++ b/src/endivegw/daemons/target_reader.py
@@ -73,7 +73,9 @@
         meanwhile is refused. Where the id has started anew since the request was
         placed, the new start is left alone.
         """
-        self._context.ends.ended(TargetStart(instance_id, started_ms), "replaced")
+        self._context.terminations.record_termination(
+            TargetStart(instance_id, started_ms), "replaced"
+        )
         self._replaced.add((instance_id, started_ms))
         target = self.view.targets.get(instance_id)
         if target is not None and target.started_ms == started_ms:
@@ -146,14 +148,16 @@
     ) -> None:
         if before is None:
             self._note(target, "added", revision)
-            self._context.ends.registered(_start_of(target), target.address)
+            self._context.terminations.record_address(_start_of(target), target.address)
         elif not before.is_incarnation_of(target):
             # Its sockets died with the earlier start, some without a word: what is
             # sent there would be lost, and nobody could say whether it ran.
             self._context.pool.expire(before.address)
             self._note(target, "restarted", revision)
-            self._context.ends.ended(_start_of(before), "restarted")
-            self._context.ends.registered(_start_of(target), target.address)
+            self._context.terminations.record_termination(
+                _start_of(before), "restarted"
+            )
+            self._context.terminations.record_address(_start_of(target), target.address)
         elif before.leaving != target.leaving:
             self._note(target, "leaving", revision)
 
--- a/src/endivegw/platform/wire.py
+++ b/src/endivegw/platform/wire.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from endivegw.relay.wire import (
-    AnswerMarks,
-    CallerMarks,
+    AnswerMetadata,
+    CallerMetadata,
     HeaderFields,
     PromptPart,
-    SendMarks,
+    SendMetadata,
 )
 from endivegw.results import Reason, Refused
 
@@ -62,40 +62,42 @@
 class PlatformWire:
     """Read and write the platform's header fields."""
 
-    def read_caller(self, fields: HeaderFields) -> CallerMarks | Refused:
+    def read_caller_fields(self, fields: HeaderFields) -> CallerMetadata | Refused:
         """Return what a request says; refused where a field is malformed."""
         found = dict(fields)
         try:
             counts = _counts(found.get(_TOKEN_COUNTS))
-            return CallerMarks(
+            return CallerMetadata(
                 request_id=_text(found.get(_ATTEMPT_ID)),
                 key=_key(found.get(_AUTHORIZATION)),
                 deadline_s=_seconds(found.get(_DEADLINE)),
                 prompt_tokens=counts[0] if counts else None,
-                most_output_tokens=counts[1] if counts else 0,
+                max_output_tokens=counts[1] if counts else 0,
                 parts=_parts(found.get(_PROMPT_PARTS)),
                 resume_after=_whole(found.get(_LAST_EVENT)),
             )
         except ValueError as error:
             return Refused(Reason.BAD_REQUEST, f"malformed header field: {error}")
 
-    def write_send(self, fields: HeaderFields, marks: SendMarks) -> HeaderFields:
+    def write_target_fields(
+        self, fields: HeaderFields, metadata: SendMetadata
+    ) -> HeaderFields:
         """Return the fields for a target: the caller's own and those added."""
         sent = [(name, value) for name, value in fields if name not in _RESERVED]
-        left_ms = max(1, int(marks.deadline_s * 1000))
+        left_ms = max(1, int(metadata.deadline_s * 1000))
         sent.append((_DEADLINE, str(left_ms).encode()))
-        sent.append((_EXPECTED_INSTANCE, marks.instance_id.encode()))
-        if marks.client_account is not None:
-            sent.append((_ACCOUNT, marks.client_account.encode()))
-        if marks.priority is not None:
-            sent.append((_PRIORITY, str(marks.priority).encode()))
-        if marks.copy_from is not None:
-            sent.append((_COPY_FROM, marks.copy_from.encode()))
-        if marks.resume_after is not None:
-            sent.append((_LAST_EVENT, str(marks.resume_after).encode()))
+        sent.append((_EXPECTED_INSTANCE, metadata.instance_id.encode()))
+        if metadata.client_account is not None:
+            sent.append((_ACCOUNT, metadata.client_account.encode()))
+        if metadata.priority is not None:
+            sent.append((_PRIORITY, str(metadata.priority).encode()))
+        if metadata.copy_from is not None:
+            sent.append((_COPY_FROM, metadata.copy_from.encode()))
+        if metadata.resume_after is not None:
+            sent.append((_LAST_EVENT, str(metadata.resume_after).encode()))
         return sent
 
-    def read_answer(self, status: int, fields: HeaderFields) -> AnswerMarks:
+    def read_answer_fields(self, status: int, fields: HeaderFields) -> AnswerMetadata:
         """Return what an answer says."""
         found = dict(fields)
         replaced = status == _MISDIRECTED
@@ -106,9 +108,9 @@
         if status == _UNAVAILABLE:
             pause_s = _pause_s(found.get(_RETRY_AFTER))
         request_id = _text(found.get(_ATTEMPT_ID))
-        return AnswerMarks(request_id, not_run, replaced, leaving, pause_s)
+        return AnswerMetadata(request_id, not_run, replaced, leaving, pause_s)
 
-    def own_answer(self, request_id: str | None) -> HeaderFields:
+    def router_answer_fields(self, request_id: str | None) -> HeaderFields:
         """Return the fields that an answer of the router itself carries."""
         if request_id is None:
             return []
--- a/src/endivegw/relay/__init__.py
+++ b/src/endivegw/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay callers' HTTP requests to targets, and their answers back."""
+"""Relay callers' HTTP requests to targets and return the targets' answers."""
--- a/src/endivegw/relay/admission.py
+++ b/src/endivegw/relay/admission.py
@@ -1,4 +1,4 @@
-"""Decide what a request is: its route, account, deadline and size."""
+"""Admit requests: determine the route, account, deadline and size of each."""
 
 from __future__ import annotations
 
@@ -10,26 +10,26 @@
 from endivegw.decisions import SERVICE_PREFIX, WorkItem
 from endivegw.quarantine import Fingerprint, fingerprint_of
 from endivegw.relay.messages import CallerRequest
-from endivegw.relay.wire import CallerMarks, PromptPart, WirePort
+from endivegw.relay.wire import CallerMetadata, PromptPart, WirePort
 from endivegw.results import Reason, Refused
 from endivegw.routing import ClientAccount, Route, RoutingTable, ServiceKind
 from endivegw.types import ClientAccountName, Priority, TargetName
 
-__all__ = ["Admitted", "admit", "model_of", "part_digests", "work_item"]
+__all__ = ["AdmittedRequest", "admit", "model_of", "part_digests", "work_item"]
 
-#: What a caller waits at most where it does not say.
-_USUAL_DEADLINE_S = 60.0
+#: Deadline of a request that does not state one.
+_DEFAULT_DEADLINE_S = 60.0
 
 
 @frozen
-class Admitted:
+class AdmittedRequest:
     """Hold a request that the configuration allows.
 
-    :param deadline_s: when its answer must be there, on the router's clock.
+    :param deadline_s: time on the router's clock by which the answer must be complete.
     """
 
     request: CallerRequest
-    marks: CallerMarks
+    metadata: CallerMetadata
     route: Route
     service: str
     service_kind: ServiceKind
@@ -39,7 +39,7 @@
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return the name of its content, which its repeats share."""
+        """Return the fingerprint of the content, which repeated requests share."""
         request = self.request
         account = self.account.name if self.account is not None else None
         return fingerprint_of(
@@ -48,14 +48,14 @@
 
     @property
     def tokens(self) -> int:
-        """Return the most tokens that it may consume; 0 where none count."""
-        if self.marks.prompt_tokens is None:
+        """Return the maximum token consumption; 0 where tokens are not counted."""
+        if self.metadata.prompt_tokens is None:
             return 0
-        return self.marks.prompt_tokens + self.marks.most_output_tokens
+        return self.metadata.prompt_tokens + self.metadata.max_output_tokens
 
     @property
     def metered(self) -> bool:
-        """Return whether a prepaid budget covers it."""
+        """Return whether the request is charged to a prepaid budget."""
         account = self.account
         return (
             self.tokens > 0
@@ -70,40 +70,43 @@
     wire: WirePort,
     rng: random.Random,
     now_s: float,
-) -> Admitted | Refused:
-    """Return what a request is, or why it is refused."""
-    marks = wire.read_caller(request.fields)
-    if isinstance(marks, Refused):
-        return marks
+) -> AdmittedRequest | Refused:
+    """Admit a request, or return why it is refused."""
+    metadata = wire.read_caller_fields(request.fields)
+    if isinstance(metadata, Refused):
+        return metadata
     if table is None:
-        return Refused(Reason.NOT_READY, "no configuration is known yet", 1.0)
+        return Refused(Reason.NOT_READY, "no configuration has been loaded yet", 1.0)
     route = table.route(request.host, request.path)
     if route is None:
-        return Refused(Reason.UNKNOWN_SERVICE, "no route for this host and path")
-    account = table.account(marks.key) if marks.key is not None else None
+        return Refused(Reason.UNKNOWN_SERVICE, "no route matches this host and path")
+    account = table.account(metadata.key) if metadata.key is not None else None
     if account is None and table.needs_key(route):
         return Refused(Reason.BAD_KEY, "no client account has this key")
-    waits_s = _USUAL_DEADLINE_S if marks.deadline_s is None else marks.deadline_s
+    wait_s = _DEFAULT_DEADLINE_S if metadata.deadline_s is None else metadata.deadline_s
     service = table.service(route, rng)
-    return Admitted(
+    return AdmittedRequest(
         request=request,
-        marks=marks,
+        metadata=metadata,
         route=route,
         service=service,
         service_kind=table.service_kind(service),
         account=account,
-        deadline_s=request.arrived_s + min(waits_s, route.timeout_s),
-        request_id=marks.request_id or f"own-{rng.getrandbits(64):016x}",
+        deadline_s=request.arrived_s + min(wait_s, route.timeout_s),
+        request_id=metadata.request_id or f"own-{rng.getrandbits(64):016x}",
     )
 
 
 def work_item(
-    admitted: Admitted,
+    admitted: AdmittedRequest,
     excluded: frozenset[TargetName],
     now_s: float,
 ) -> WorkItem:
-    """Return a request as the decisions see it."""
-    marks = admitted.marks
+    """Return a request in the form that the dispatcher takes.
+
+    :param excluded: targets that must not receive the request (again).
+    """
+    metadata = admitted.metadata
     account = admitted.account
     name = account.name if account is not None else ClientAccountName("")
     return WorkItem(
@@ -113,33 +116,33 @@
         weight=1.0,
         model=model_of(admitted),
         deadline_s=admitted.deadline_s,
-        prompt_tokens=marks.prompt_tokens or 0,
-        output_tokens=marks.most_output_tokens,
+        prompt_tokens=metadata.prompt_tokens or 0,
+        output_tokens=metadata.max_output_tokens,
         arrived_s=now_s,
-        prefix_digests=part_digests(marks.parts),
-        prefix_tokens=tuple(accumulate(part.tokens for part in marks.parts)),
+        prefix_digests=part_digests(metadata.parts),
+        prefix_tokens=tuple(accumulate(part.tokens for part in metadata.parts)),
         excluded=excluded,
         pause_objective_s=admitted.route.pause_objective_s,
     )
 
 
-def model_of(admitted: Admitted) -> str:
-    """Return the name under which the decisions know a request's service."""
+def model_of(admitted: AdmittedRequest) -> str:
+    """Return the name of a request's service as the dispatcher uses it."""
     engine = admitted.service_kind is ServiceKind.ENGINE
     return admitted.service if engine else SERVICE_PREFIX + admitted.service
 
 
 def part_digests(parts: tuple[PromptPart, ...]) -> tuple[bytes, ...]:
-    """Return one digest for each part of a prompt, the shortest prefix first.
+    """Return one digest for each prefix of a prompt, the shortest prefix first.
 
-    Engines keep and drop whole parts. A part's id stands for its text and for all
-    parts before it.
+    Engines cache and evict complete parts. The id of a part identifies its text
+    together with all preceding parts.
     """
     return tuple(part.part_id.encode() for part in parts)
 
 
-def _priority(admitted: Admitted) -> Priority:
-    """Return the rank; an account's own goes before its route's."""
+def _priority(admitted: AdmittedRequest) -> Priority:
+    """Return the priority; the account's takes precedence over the route's."""
     rank = admitted.route.priority
     if admitted.account is not None and admitted.account.priority is not None:
         rank = admitted.account.priority
--- a/src/endivegw/relay/answers.py
+++ b/src/endivegw/relay/answers.py
@@ -1,4 +1,4 @@
-"""The router's own answers: what a caller is told where no target's answer goes out."""
+"""Answers that the router generates where no target's answer can be relayed."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from endivegw.relay.wire import HeaderFields
 from endivegw.results import Reason, Refused, Unknown
 
-__all__ = ["OwnAnswer", "own_answer"]
+__all__ = ["RouterAnswer", "router_answer"]
 
-#: What each refusal is for a caller. 429 and 503 promise that the request did
-#: not run and will not; nothing else of ours does.
+#: HTTP status for each reason of a refusal. Among the router's answers only 429 and
+#: 503 guarantee that the request did not run and will not run.
 _STATUS = {
     Reason.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     Reason.BAD_KEY: HTTPStatus.UNAUTHORIZED,
@@ -26,16 +26,16 @@
     Reason.QUARANTINED: HTTPStatus.SERVICE_UNAVAILABLE,
 }
 
-#: When to come back where nothing better is known, in seconds.
-_USUAL_RETRY_S = 0.5
+#: Retry-after in seconds where the refusal states none.
+_DEFAULT_RETRY_S = 0.5
 
-#: The smallest time that is told; less than a round trip says nothing.
-_LEAST_RETRY_S = 0.05
+#: Minimum retry-after; anything shorter than a round trip has no effect.
+_MIN_RETRY_S = 0.05
 
 
 @frozen
-class OwnAnswer:
-    """Hold an answer that no target gave."""
+class RouterAnswer:
+    """Hold an answer that the router generates itself."""
 
     status: int
     reason: Reason
@@ -43,27 +43,30 @@
     retry_after_s: float | None = None
 
     def fields(self) -> HeaderFields:
-        """Return its header fields."""
+        """Return the header fields of the answer."""
         fields = [(b"content-type", b"text/plain; charset=utf-8")]
         if self.retry_after_s is not None:
             fields.append((b"retry-after", f"{self.retry_after_s:.2f}".encode()))
         return fields
 
     def body(self) -> bytes:
-        """Return its body."""
+        """Return the body of the answer: the reason and its detail."""
         return f"{self.reason.value}: {self.detail}\n".encode()
 
 
-def own_answer(end: Refused | Unknown) -> OwnAnswer:
-    """Return what a caller is told: a refusal has not run, an unknown end may have."""
+def router_answer(end: Refused | Unknown) -> RouterAnswer:
+    """Return the answer for a request without a target's answer.
+
+    A refused request has not run; one with an unknown outcome may have.
+    """
     match end:
         case Unknown(reason=Reason.TIMEOUT):
             status = HTTPStatus.GATEWAY_TIMEOUT
-            return OwnAnswer(status, end.reason, end.detail)
+            return RouterAnswer(status, end.reason, end.detail)
         case Unknown():
-            return OwnAnswer(HTTPStatus.BAD_GATEWAY, end.reason, end.detail)
+            return RouterAnswer(HTTPStatus.BAD_GATEWAY, end.reason, end.detail)
     status = _STATUS.get(end.reason, HTTPStatus.SERVICE_UNAVAILABLE)
     if status is not HTTPStatus.SERVICE_UNAVAILABLE:
-        return OwnAnswer(status, end.reason, end.detail)
-    retry_s = _USUAL_RETRY_S if end.retry_after_s is None else end.retry_after_s
-    return OwnAnswer(status, end.reason, end.detail, max(_LEAST_RETRY_S, retry_s))
+        return RouterAnswer(status, end.reason, end.detail)
+    retry_s = _DEFAULT_RETRY_S if end.retry_after_s is None else end.retry_after_s
+    return RouterAnswer(status, end.reason, end.detail, max(_MIN_RETRY_S, retry_s))
--- a/src/endivegw/relay/attempt.py
+++ b/src/endivegw/relay/attempt.py
@@ -1,4 +1,4 @@
-"""One send of a request to one target."""
+"""One attempt to send a request to one target."""
 
 from __future__ import annotations
 
@@ -8,39 +8,45 @@
 import anyio
 from attrs import define, frozen
 
-from endivegw.relay.events import EventCutter, EventOrder
+from endivegw.relay.events import EventOrder, EventSplitter
 from endivegw.relay.messages import TargetHead, end_to_end
 from endivegw.relay.target_connection import (
     AnswerBroken,
-    Outgoing,
+    OutgoingRequest,
     TargetConnection,
 )
 from endivegw.relay.target_pool import ConnectFailed, TargetPool
-from endivegw.relay.wire import AnswerMarks, HeaderFields, WirePort
+from endivegw.relay.wire import AnswerMetadata, HeaderFields, WirePort
 
-__all__ = ["Attempt", "AttemptLimits", "AttemptResult", "End", "WholeAnswer"]
+__all__ = [
+    "Attempt",
+    "AttemptLimits",
+    "AttemptResult",
+    "AttemptOutcome",
+    "CompleteAnswer",
+]
 
 _OK = 200
 
 
-class End(enum.Enum):
-    """How an attempt ended."""
+class AttemptOutcome(enum.Enum):
+    """Outcome of an attempt."""
 
-    #: A whole answer came; a stream was passed on to its end.
+    #: A complete answer was received, or a stream was relayed to its end.
     ANSWERED = "answered"
-    #: Nothing was sent.
+    #: Nothing was sent because no connection could be opened.
     NOT_SENT = "not-sent"
-    #: Nothing was sent: by then the target took no more work.
+    #: Nothing was sent because the target had stopped accepting work.
     HELD_BACK = "held-back"
-    #: The target says that it did not run the request.
+    #: The target states that it did not run the request.
     NOT_RUN = "not-run"
-    #: No whole answer came; the request may have run.
+    #: No complete answer was received; the request may have run.
     LOST = "lost"
 
 
 @frozen
-class WholeAnswer:
-    """Hold a target's whole answer."""
+class CompleteAnswer:
+    """Hold a target's complete answer."""
 
     head: TargetHead
     body: bytes
@@ -48,16 +54,16 @@
 
 @frozen
 class AttemptResult:
-    """Hold how an attempt ended, and its answer where that is not passed on yet.
+    """Hold the outcome of an attempt, and its answer if not yet relayed.
 
     :param replaced: whether another instance answered at the target's address.
-    :param broken: whether the connection ended before the answer did.
-    :param paused: whether the target wants nothing for a while.
+    :param broken: whether the connection broke before the answer was complete.
+    :param paused: whether the target asked to receive no requests for some time.
     """
 
-    end: End
+    outcome: AttemptOutcome
     detail: str = ""
-    answer: WholeAnswer | None = None
+    answer: CompleteAnswer | None = None
     replaced: bool = False
     broken: bool = False
     paused: bool = False
@@ -65,40 +71,43 @@
 
 @frozen
 class AttemptLimits:
-    """Hold how long a target may say nothing.
+    """Hold the limits of an attempt.
 
-    :param silence_s: within a stream that another target can go on with. A
-        caller leaves after two seconds at the earliest, so that the other one
-        still has time; engines that are full pause for less.
+    :param stall_timeout_s: seconds without the head or further stream data after which
+        a repeatable attempt is abandoned. Callers disconnect after 2 s at the earliest,
+        so another target still has time to continue the stream. Fully loaded engines
+        pause for less than this limit.
     """
 
-    silence_s: float = 1.2
+    stall_timeout_s: float = 1.2
 
 
 @define
-class StreamPassed:
-    """Count what a caller has of a stream, over all attempts.
+class StreamProgress:
+    """Track the part of a stream that was relayed to the caller, over all attempts.
 
-    :ivar begun: whether the head of the answer was passed on.
+    :ivar order: sequence check that drops repeated events.
+    :ivar started: whether the head of the answer was relayed.
+    :ivar events: number of events that were relayed.
     """
 
     order: EventOrder
-    begun: bool = False
+    started: bool = False
     events: int = 0
 
 
 class Attempt:
-    """Send a request once, and read or pass on the answer.
-
-    :param pass_head: called with the head and the first whole event.
-    :param pass_events: called with whole events.
-    :param on_first: called when the answer has begun.
-    :param may_send: called right before the request is sent; returns whether the target
-        still takes work. It may have said otherwise while a connection came about.
-    :param on_marks: takes what the head of an answer says, of an answer to an earlier
-        request on the connection too: the same target says it.
-    :param cancel_if_left: called right before the request is sent; cancels it where
-        its caller has left.
+    """Send a request once, and read or relay the answer.
+
+    :param relay_head: called with the head and the first complete events.
+    :param relay_events: called with complete events.
+    :param on_first_data: called when the first data of the answer has arrived.
+    :param accepts_work: called right before the request is sent; returns whether the
+        target still accepts work, which may have changed while a connection was opened.
+    :param on_metadata: called with the metadata of each answer head, including late
+        answers to earlier requests on the connection, which the same target sent.
+    :param cancel_if_caller_left: called right before the request is sent; cancels the
+        request if its caller has disconnected.
     :ivar sent: whether any byte of the request may have reached the target.
     """
 
@@ -107,61 +116,67 @@
         pool: TargetPool,
         wire: WirePort,
         request_id: str,
-        passed: StreamPassed,
-        pass_head: Callable[[TargetHead, bytes], Awaitable[None]],
-        pass_events: Callable[[bytes], Awaitable[None]],
-        on_first: Callable[[], None],
-        may_send: Callable[[], bool],
-        on_marks: Callable[[AnswerMarks], None],
-        cancel_if_left: Callable[[], None],
+        stream_progress: StreamProgress,
+        relay_head: Callable[[TargetHead, bytes], Awaitable[None]],
+        relay_events: Callable[[bytes], Awaitable[None]],
+        on_first_data: Callable[[], None],
+        accepts_work: Callable[[], bool],
+        on_metadata: Callable[[AnswerMetadata], None],
+        cancel_if_caller_left: Callable[[], None],
     ) -> None:
         self._pool = pool
         self._wire = wire
         self._request_id = request_id
-        self._passed = passed
-        self._pass_head = pass_head
-        self._pass_events = pass_events
-        self._on_first = on_first
-        self._may_send = may_send
-        self._on_marks = on_marks
-        self._cancel_if_left = cancel_if_left
-        self._marks = AnswerMarks(None, False)
+        self._stream_progress = stream_progress
+        self._relay_head = relay_head
+        self._relay_events = relay_events
+        self._on_first_data = on_first_data
+        self._accepts_work = accepts_work
+        self._on_metadata = on_metadata
+        self._cancel_if_caller_left = cancel_if_caller_left
+        self._metadata = AnswerMetadata(None, False)
         self.sent = False
 
     async def run(
         self,
         address: str,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         *,
-        fresh: bool,
+        require_fresh: bool,
         stream: bool,
-        silence_s: float | None,
+        stall_timeout_s: float | None,
     ) -> AttemptResult:
-        """Make the attempt.
+        """Send the request and return the result.
 
-        :param stream: whether a good answer is passed on event by event.
-        :param silence_s: None where only the request's deadline ends a silence.
+        :param require_fresh: whether the request must not run twice, so that only a
+            recently used connection may be reused.
+        :param stream: whether a successful answer is relayed event by event.
+        :param stall_timeout_s: limit in seconds for the wait for the head, and for each
+            pause within a stream; None if only the request's deadline applies.
         """
         try:
-            connection = await self._pool.acquire(address, fresh)
+            connection = await self._pool.acquire(address, require_fresh)
         except ConnectFailed as error:
-            return AttemptResult(End.NOT_SENT, str(error))
-        # A connection that carried nothing of this request is as good as before.
+            return AttemptResult(AttemptOutcome.NOT_SENT, str(error))
+        # A connection that carried no byte of this request can be reused.
         clean = True
         try:
-            self._cancel_if_left()
+            self._cancel_if_caller_left()
             await anyio.lowlevel.checkpoint_if_cancelled()
-            if not self._may_send():
-                return AttemptResult(End.HELD_BACK, "the target takes no more work")
+            if not self._accepts_work():
+                return AttemptResult(
+                    AttemptOutcome.HELD_BACK, "the target accepts no more work"
+                )
             clean = False
             self.sent = True
-            result = await self._exchange(connection, outgoing, stream, silence_s)
-            clean = result.end in (End.ANSWERED, End.NOT_RUN)
+            result = await self._exchange(connection, outgoing, stream, stall_timeout_s)
+            clean = result.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.NOT_RUN)
             return result
         except AnswerBroken as error:
-            return AttemptResult(End.LOST, str(error), broken=True)
+            return AttemptResult(AttemptOutcome.LOST, str(error), broken=True)
         finally:
-            # Also where the caller left: closing makes the target stop.
+            # This also runs if the caller disconnected: closing the connection makes
+            # the target stop generating.
             if clean:
                 await self._pool.release(connection)
             else:
@@ -170,90 +185,98 @@
     async def _exchange(
         self,
         connection: TargetConnection,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         stream: bool,
-        silence_s: float | None,
+        stall_timeout_s: float | None,
     ) -> AttemptResult:
         try:
-            with anyio.fail_after(silence_s):
-                head = await connection.ask(outgoing, self._is_own)
+            with anyio.fail_after(stall_timeout_s):
+                head = await connection.send_request(outgoing, self._matches_request)
         except TimeoutError:
-            return AttemptResult(End.LOST, f"silent for {silence_s:g} s")
-        marks = self._marks
+            return AttemptResult(
+                AttemptOutcome.LOST, f"no data for {stall_timeout_s:g} s"
+            )
+        metadata = self._metadata
         if stream and head.status == _OK:
-            return await self._pass_stream(connection, head, silence_s)
-        body = await self._read_whole(connection)
-        self._on_first()
-        answer = WholeAnswer(TargetHead(head.status, end_to_end(head.fields)), body)
-        if marks.not_run:
+            return await self._relay_stream(connection, head, stall_timeout_s)
+        body = await self._read_body(connection)
+        self._on_first_data()
+        answer = CompleteAnswer(TargetHead(head.status, end_to_end(head.fields)), body)
+        if metadata.not_run:
             detail = f"status {head.status}"
             return AttemptResult(
-                End.NOT_RUN,
+                AttemptOutcome.NOT_RUN,
                 detail,
                 answer,
-                marks.replaced,
-                paused=marks.pause_s is not None,
+                metadata.replaced,
+                paused=metadata.pause_s is not None,
             )
-        return AttemptResult(End.ANSWERED, f"status {head.status}", answer)
+        return AttemptResult(AttemptOutcome.ANSWERED, f"status {head.status}", answer)
 
-    def _is_own(self, status: int, fields: HeaderFields) -> bool:
-        """Return whether an answer is this request's.
+    def _matches_request(self, status: int, fields: HeaderFields) -> bool:
+        """Return whether an answer belongs to this request.
 
-        Answers by which a target refuses before it read the request may bear no
-        id; one that bears another request's id is that request's.
+        A target that refuses a request before reading it may answer without a request
+        id. An answer with the id of another request belongs to that request.
         """
-        marks = self._marks = self._wire.read_answer(status, fields)
-        self._on_marks(marks)
-        if marks.request_id is None:
+        metadata = self._metadata = self._wire.read_answer_fields(status, fields)
+        self._on_metadata(metadata)
+        if metadata.request_id is None:
             return status >= 400
-        return marks.request_id == self._request_id
+        return metadata.request_id == self._request_id
 
-    async def _read_whole(self, connection: TargetConnection) -> bytes:
+    async def _read_body(self, connection: TargetConnection) -> bytes:
         parts: list[bytes] = []
         while (part := await connection.body()) is not None:
             parts.append(part)
         return b"".join(parts)
 
-    async def _pass_stream(
+    async def _relay_stream(
         self,
         connection: TargetConnection,
         head: TargetHead,
-        silence_s: float | None,
+        stall_timeout_s: float | None,
     ) -> AttemptResult:
-        """Pass whole events on as they come, each once and in order."""
-        cutter = EventCutter()
-        passed_head = TargetHead(head.status, end_to_end(head.fields))
+        """Relay complete events as they arrive, each once and in order."""
+        splitter = EventSplitter()
+        relayed_head = TargetHead(head.status, end_to_end(head.fields))
         while True:
             try:
-                with anyio.fail_after(silence_s):
+                with anyio.fail_after(stall_timeout_s):
                     data = await connection.body()
             except TimeoutError:
-                return AttemptResult(End.LOST, f"silent for {silence_s:g} s")
+                return AttemptResult(
+                    AttemptOutcome.LOST, f"no data for {stall_timeout_s:g} s"
+                )
             if data is None:
                 break
             ready: list[bytes] = []
-            for event in cutter.feed(data):
-                accepted = self._passed.order.accept(event)
+            for event in splitter.feed(data):
+                accepted = self._stream_progress.order.accept(event)
                 if accepted is None:
-                    return AttemptResult(End.LOST, "an event is missing")
+                    return AttemptResult(
+                        AttemptOutcome.LOST, "an event is missing from the stream"
+                    )
                 if accepted:
                     ready.append(event.data)
             if ready:
-                await self._pass(passed_head, ready)
-        if cutter.has_rest:
-            return AttemptResult(End.LOST, "the stream ended within an event")
-        if not self._passed.begun:
-            await self._pass(passed_head, [])
-        return AttemptResult(End.ANSWERED, f"status {head.status}")
-
-    async def _pass(self, head: TargetHead, events: list[bytes]) -> None:
-        # Counted before they are sent: a caller that leaves in this moment may
-        # have them.
-        self._passed.events += len(events)
-        self._on_first()
+                await self._relay_batch(relayed_head, ready)
+        if splitter.has_partial_event:
+            return AttemptResult(
+                AttemptOutcome.LOST, "the stream ended in the middle of an event"
+            )
+        if not self._stream_progress.started:
+            await self._relay_batch(relayed_head, [])
+        return AttemptResult(AttemptOutcome.ANSWERED, f"status {head.status}")
+
+    async def _relay_batch(self, head: TargetHead, events: list[bytes]) -> None:
+        # Events are counted before they are sent, because a caller that disconnects
+        # during the send may have received them.
+        self._stream_progress.events += len(events)
+        self._on_first_data()
         data = b"".join(events)
-        if self._passed.begun:
-            await self._pass_events(data)
+        if self._stream_progress.started:
+            await self._relay_events(data)
             return
-        self._passed.begun = True
-        await self._pass_head(head, data)
+        self._stream_progress.started = True
+        await self._relay_head(head, data)
--- a/src/endivegw/relay/caller_connection.py
+++ b/src/endivegw/relay/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: read requests, write answers, notice that it left."""
+"""One caller's connection: read requests, write answers, detect disconnects."""
 
 from __future__ import annotations
 
@@ -9,95 +9,101 @@
 from anyio.abc import ByteStream
 
 from endivegw.relay.messages import CallerRequest
-from endivegw.relay.request_parser import Malformed, RequestParser
-from endivegw.relay.sockets import has_hung_up
+from endivegw.relay.request_parser import MalformedRequest, RequestParser
+from endivegw.relay.sockets import peer_has_closed
 from endivegw.relay.wire import HeaderFields
 from endivegw.routing import CallerLimits
 
-__all__ = ["Answerer", "CallerConnection", "Handler"]
+__all__ = ["AnswerWriter", "CallerConnection", "Handler"]
 
-#: Bytes of further requests that are held while one is answered; a caller that
-#: sends more is not read until then.
-_MOST_AHEAD_BYTES = 65536
+#: Maximum bytes of pipelined requests that are buffered while a request is answered.
+#: Beyond it, reading from the caller pauses until the answer is finished.
+_MAX_READ_AHEAD_BYTES = 65536
 
-#: How long a caller whose request was refused midway may still send, so that
-#: closing does not reset the connection before the answer was read.
-_LINGER_S = 0.3
+#: How long to read on after a request was rejected before its end. Closing at once
+#: would reset the connection before the caller has read the answer.
+_LINGER_TIMEOUT_S = 0.3
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Answerer:
+class AnswerWriter:
     """Write one answer to a caller.
 
-    :param cancel_if_left: what :meth:`CallerConnection.cancel_if_left` says.
-    :ivar begun: whether any byte of the answer may have left.
-    :ivar cut: whether the answer ended before its end; the connection then
-        closes without looking complete.
+    :param close_after: whether the connection must close after the answer.
+    :param cancel_if_caller_left: see :meth:`CallerConnection.cancel_if_caller_left`.
+    :ivar started: whether any byte of the answer may have been sent.
+    :ivar finished: whether the answer was sent completely.
     """
 
     def __init__(
         self,
         stream: ByteStream,
         request: CallerRequest,
-        last: bool,
-        cancel_if_left: Callable[[], None],
+        close_after: bool,
+        cancel_if_caller_left: Callable[[], None],
     ) -> None:
         self._stream = stream
-        self.cancel_if_left = cancel_if_left
+        self.cancel_if_caller_left = cancel_if_caller_left
         self._chunked = request.http_version >= b"1.1"
-        self._bodyless = request.method == b"HEAD"
-        self.last = last or request.last
-        self.begun = False
-        self.ended = False
+        self._head_only = request.method == b"HEAD"
+        self.close_after = close_after or request.close_after
+        self.started = False
+        self.finished = False
 
     @property
-    def cut(self) -> bool:
-        """Return whether an answer was begun and not ended."""
-        return self.begun and not self.ended
+    def truncated(self) -> bool:
+        """Return whether the answer was started but not finished.
 
-    async def whole(self, status: int, fields: HeaderFields, body: bytes) -> None:
-        """Write an answer in one go."""
+        The connection then closes without the marker of a complete answer.
+        """
+        return self.started and not self.finished
+
+    async def send_complete(
+        self, status: int, fields: HeaderFields, body: bytes
+    ) -> None:
+        """Write a complete answer."""
         length = [(b"content-length", str(len(body)).encode())]
-        head = _head(status, fields + length, self.last)
-        self.begun = True
-        await self._stream.send(head if self._bodyless else head + body)
-        self.ended = True
+        head = _encode_head(status, fields + length, self.close_after)
+        self.started = True
+        await self._stream.send(head if self._head_only else head + body)
+        self.finished = True
 
     async def start(self, status: int, fields: HeaderFields, body: bytes) -> None:
-        """Write the head of an answer of unknown length, and its first piece."""
+        """Write the head and the first chunk of an answer of unknown length."""
         if self._chunked:
             fields = fields + [(b"transfer-encoding", b"chunked")]
         else:
-            self.last = True
-        self.begun = True
-        head = _head(status, fields, self.last)
-        await self._stream.send(head + self._framed(body))
+            self.close_after = True
+        self.started = True
+        head = _encode_head(status, fields, self.close_after)
+        await self._stream.send(head + self._encode_chunk(body))
 
-    async def piece(self, body: bytes) -> None:
-        """Write one more piece."""
-        await self._stream.send(self._framed(body))
+    async def send_chunk(self, body: bytes) -> None:
+        """Write a further chunk of the answer."""
+        await self._stream.send(self._encode_chunk(body))
 
-    async def end(self) -> None:
-        """End an answer of unknown length."""
+    async def finish(self) -> None:
+        """Finish an answer of unknown length."""
         if self._chunked:
             await self._stream.send(b"0\r\n\r\n")
-        self.ended = True
+        self.finished = True
 
-    def _framed(self, body: bytes) -> bytes:
+    def _encode_chunk(self, body: bytes) -> bytes:
         if not self._chunked or not body:
             return body
         return b"%x\r\n%b\r\n" % (len(body), body)
 
 
-Handler = Callable[[CallerRequest, Answerer], Awaitable[None]]
+Handler = Callable[[CallerRequest, AnswerWriter], Awaitable[None]]
 
 
 class CallerConnection:
-    """Serve one connection until either side ends it.
+    """Serve one connection until either side closes it.
 
-    :param limits: returns the limits in force.
-    :param draining: returns whether the router is about to stop.
+    :param handler: answers one request.
+    :param limits: returns the limits that are currently configured.
+    :param draining: returns whether the router is draining before it stops.
     """
 
     def __init__(
@@ -114,93 +120,95 @@
         self._draining = draining
         self._clock = clock
         self._parser = RequestParser(limits())
-        self._news = anyio.Event()
-        self._room = anyio.Event()
-        self._left = False
+        self._state_changed = anyio.Event()
+        self._read_resumed = anyio.Event()
+        self._caller_left = False
         self._closing = False
         self._scope: anyio.CancelScope | None = None
         #: Whether a request is being read or answered.
         self.busy = False
 
     async def serve(self) -> None:
-        """Read and answer requests in turn."""
+        """Read and answer requests one after the other."""
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._pump)
-                await self._converse()
+                tasks.start_soon(self._read_input)
+                await self._serve_requests()
                 tasks.cancel_scope.cancel()
         finally:
-            with anyio.CancelScope(shield=True), anyio.move_on_after(_LINGER_S):
+            with anyio.CancelScope(shield=True), anyio.move_on_after(_LINGER_TIMEOUT_S):
                 await self._stream.aclose()
 
     def close_when_idle(self) -> None:
-        """Close now, or after the request that is being read or answered."""
+        """Close the connection now, or after the request in progress."""
         self._closing = True
-        self._news.set()
+        self._state_changed.set()
 
-    def cancel_if_left(self) -> None:
-        """Cancel the request that is answered where its caller has closed.
+    def cancel_if_caller_left(self) -> None:
+        """Cancel the request in progress if its caller has closed the connection.
 
-        After the process stood still, a request and the end of its connection lie
-        unread together. The loop reads the request in one turn and the end in the
-        next, and a request that needs nothing more is on its way to a target by then:
-        targets work for nobody, seconds after the callers left. Asked right before
-        the send, the kernel knows of the end already.
+        After the process was paused, a request and the end of its connection may both
+        be unread. The event loop reads the request in one iteration and the end in the
+        next, by which time the request may have been sent to a target: targets would
+        work for callers that disconnected seconds ago. The kernel already knows of the
+        end, so it is queried right before the send.
         """
-        if not self._left and has_hung_up(self._stream):
-            self._leave()
+        if not self._caller_left and peer_has_closed(self._stream):
+            self._handle_caller_left()
 
-    def _leave(self) -> None:
-        self._left = True
-        self._news.set()
+    def _handle_caller_left(self) -> None:
+        self._caller_left = True
+        self._state_changed.set()
         if self._scope is not None:
             self._scope.cancel()
 
-    async def _pump(self) -> None:
-        """Read all the time, so that a caller that leaves is noticed at once.
+    async def _read_input(self) -> None:
+        """Read continuously, so that a disconnect is detected at once.
 
-        An engine would otherwise go on generating for nobody.
+        An engine would otherwise continue to generate an answer that nobody reads.
         """
         try:
             while True:
-                while self._parser.buffered_bytes > _MOST_AHEAD_BYTES and self._scope:
-                    self._room = anyio.Event()
-                    await self._room.wait()
+                while (
+                    self._parser.buffered_bytes > _MAX_READ_AHEAD_BYTES and self._scope
+                ):
+                    self._read_resumed = anyio.Event()
+                    await self._read_resumed.wait()
                 self._parser.feed(await self._stream.receive())
-                self._news.set()
+                self._state_changed.set()
         except (anyio.EndOfStream, anyio.BrokenResourceError, OSError):
-            self._leave()
+            self._handle_caller_left()
 
-    async def _converse(self) -> None:
+    async def _serve_requests(self) -> None:
         while True:
-            request = await self._next()
+            request = await self._next_request()
             match request:
                 case None:
                     return
-                case Malformed():
-                    await self._refuse(request)
+                case MalformedRequest():
+                    await self._reject(request)
                     return
                 case CallerRequest():
-                    if not await self._answer(request):
+                    if not await self._handle_request(request):
                         return
 
-    async def _next(self) -> CallerRequest | Malformed | None:
-        """Return the next request, None where none will come."""
+    async def _next_request(self) -> CallerRequest | MalformedRequest | None:
+        """Return the next request, None if the connection delivers no more."""
         limits = self._limits()
         self._parser.limits = limits
         self.busy = False
         timeout_s = limits.idle_timeout_s
         head_due_s: float | None = None
         while True:
-            self._news = anyio.Event()
+            self._state_changed = anyio.Event()
             request = self._parser.next_request(self._clock())
             if request is not None:
                 self.busy = True
                 return request
-            if self._left or (self._closing and self._parser.idle):
+            if self._caller_left or (self._closing and self._parser.idle):
                 return None
-            if self._parser.wants_continue:
-                self._parser.wants_continue = False
+            if self._parser.expects_continue:
+                self._parser.expects_continue = False
                 await self._stream.send(_CONTINUE)
             if not self._parser.idle:
                 self.busy = True
@@ -211,55 +219,58 @@
                 if self._parser.in_body:
                     timeout_s = limits.idle_timeout_s
             with anyio.move_on_after(timeout_s) as waited:
-                await self._news.wait()
-            if waited.cancelled_caught and not self._news.is_set():
+                await self._state_changed.wait()
+            if waited.cancelled_caught and not self._state_changed.is_set():
                 if self._parser.idle:
                     return None
-                return Malformed(HTTPStatus.REQUEST_TIMEOUT, "the request did not end")
-
-    async def _answer(self, request: CallerRequest) -> bool:
-        """Answer one request; return whether the connection goes on."""
-        answerer = Answerer(
-            self._stream, request, self._draining(), self.cancel_if_left
+                return MalformedRequest(
+                    HTTPStatus.REQUEST_TIMEOUT,
+                    "the request was not received completely in time",
+                )
+
+    async def _handle_request(self, request: CallerRequest) -> bool:
+        """Answer one request; return whether the connection stays open."""
+        writer = AnswerWriter(
+            self._stream, request, self._draining(), self.cancel_if_caller_left
         )
         try:
             with anyio.CancelScope() as scope:
                 self._scope = scope
-                if self._left:
+                if self._caller_left:
                     scope.cancel()
-                await self._handler(request, answerer)
+                await self._handler(request, writer)
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             return False
         finally:
             self._scope = None
-            self._room.set()
-        return answerer.ended and not answerer.last and not self._left
+            self._read_resumed.set()
+        return writer.finished and not writer.close_after and not self._caller_left
 
-    async def _refuse(self, malformed: Malformed) -> None:
-        """Answer what is no request, and close."""
+    async def _reject(self, malformed: MalformedRequest) -> None:
+        """Answer a malformed request, then wait briefly for the caller to close."""
         body = f"{malformed.detail}\n".encode()
         fields = [(b"content-type", b"text/plain")]
         fields.append((b"content-length", str(len(body)).encode()))
-        head = _head(malformed.status, fields, True)
+        head = _encode_head(malformed.status, fields, True)
         try:
             await self._stream.send(head + body)
             await self._stream.send_eof()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
             return
-        with anyio.move_on_after(_LINGER_S):
-            while not self._left:
-                await self._news.wait()
-                self._news = anyio.Event()
+        with anyio.move_on_after(_LINGER_TIMEOUT_S):
+            while not self._caller_left:
+                await self._state_changed.wait()
+                self._state_changed = anyio.Event()
 
 
-def _head(status: int, fields: HeaderFields, last: bool) -> bytes:
+def _encode_head(status: int, fields: HeaderFields, close_after: bool) -> bytes:
     try:
         phrase = HTTPStatus(status).phrase
     except ValueError:
         phrase = ""
     lines = [f"HTTP/1.1 {status} {phrase}\r\n".encode("latin-1")]
     lines += [b"%b: %b\r\n" % field for field in fields]
-    if last:
+    if close_after:
         lines.append(b"connection: close\r\n")
     lines.append(b"\r\n")
     return b"".join(lines)
--- a/src/endivegw/relay/context.py
+++ b/src/endivegw/relay/context.py
@@ -1,4 +1,4 @@
-"""What all requests of one router share."""
+"""State and collaborators that all requests of one router share."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from endivegw.decisions import RetryBudget
 from endivegw.quarantine import QuarantineManager, TargetStart
 from endivegw.relay.attempt import AttemptLimits
-from endivegw.relay.target_ends import TargetEnds
+from endivegw.relay.target_ends import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
 from endivegw.relay.wire import WirePort
 from endivegw.routing import RoutingTable
@@ -25,22 +25,22 @@
 
 @define
 class RelayContext:
-    """Hold what all requests of one router share.
-
-    :ivar table: the configuration in force; None before the first.
-    :ivar table_since_s: when it came into force.
-    :ivar draining: whether the router is about to stop.
-    :ivar on_replaced: takes the instance and the start of a target at whose address
-        another instance answered.
-    :ivar on_leaving: takes a start of a target that says in an answer that it leaves,
-        and where that was heard.
+    """Hold state and collaborators that all requests of one router share.
+
+    :ivar table: the active configuration; None until the first one is loaded.
+    :ivar table_active_since_s: time at which that configuration became active.
+    :ivar draining: whether the router accepts no new requests because it stops.
+    :ivar on_replaced: called with the instance id and start time of a target when
+        another instance answered at its address.
+    :ivar on_leaving: called with a target that announces its shutdown, and with the
+        source of the announcement.
     """
 
     wire: WirePort
     allowances: AllowanceManager
     queue: PlacementQueue
     pool: TargetPool
-    ends: TargetEnds
+    terminations: TerminationDetector
     quarantine: QuarantineManager
     retries: RetryBudget
     rng: random.Random
@@ -49,7 +49,7 @@
     limits: AttemptLimits = field(factory=AttemptLimits)
     metrics: RouterMetrics = field(factory=RouterMetrics)
     table: RoutingTable | None = None
-    table_since_s: float = 0.0
+    table_active_since_s: float = 0.0
     draining: bool = False
     on_replaced: Callable[[InstanceId, int | None], None] = lambda name, start: None
     on_leaving: Callable[[TargetStart, str], None] = lambda start, source: None
--- a/src/endivegw/relay/events.py
+++ b/src/endivegw/relay/events.py
@@ -1,72 +1,74 @@
-"""Cut a stream of events into whole ones, and keep their order."""
+"""Split a byte stream into server-sent events and enforce their order."""
 
 from __future__ import annotations
 
 from attrs import define, field, frozen
 
-__all__ = ["EventCutter", "EventOrder", "StreamEvent"]
+__all__ = ["EventSplitter", "EventOrder", "StreamEvent"]
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
+_EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 
 
 @frozen
 class StreamEvent:
-    """Hold one whole event; its id is None where it has none."""
+    """Hold one complete event; the id is None if the event has none."""
 
     data: bytes
     event_id: int | None
 
 
 @define
-class EventCutter:
-    """Take bytes in, give whole events out.
+class EventSplitter:
+    """Split received bytes into complete events.
 
-    A target may stop in the middle of an event. Bytes that were passed on by
-    then could not be taken back, and what a second target sends would be glued
-    to them; so only whole events are passed on.
+    A target may stop in the middle of an event. Had the partial event been relayed,
+    the data of a second target would be appended to it. Only complete events are
+    therefore relayed.
     """
 
     _buffer: bytearray = field(factory=bytearray)
 
     @property
-    def has_rest(self) -> bool:
-        """Return whether an event has begun and not ended."""
+    def has_partial_event(self) -> bool:
+        """Return whether an incomplete event is buffered."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are now whole."""
+        """Return the events that are complete with this data."""
         self._buffer += data
         found: list[StreamEvent] = []
         while True:
-            end = self._end()
+            end = self._find_event_end()
             if end < 0:
                 return found
             event = bytes(self._buffer[:end])
             del self._buffer[:end]
             found.append(StreamEvent(event, _event_id(event)))
 
-    def _end(self) -> int:
+    def _find_event_end(self) -> int:
         ends = [
-            at + len(mark) for mark in _ENDS if (at := self._buffer.find(mark)) >= 0
+            at + len(mark)
+            for mark in _EVENT_TERMINATORS
+            if (at := self._buffer.find(mark)) >= 0
         ]
         return min(ends, default=-1)
 
 
 @define
 class EventOrder:
-    """Let each event through once and in order.
+    """Accept each event once and in order.
 
-    :ivar last_id: the last event that was passed on; None before the first.
+    :ivar last_id: id of the last accepted event; None before the first.
     """
 
     last_id: int | None = None
 
     def accept(self, event: StreamEvent) -> bool | None:
-        """Return whether to pass an event on; None where one before it is missing.
+        """Return whether to relay an event; None if an earlier one is missing.
 
-        A second target goes on after the last event it was told. One that
-        starts over repeats events, which are dropped; one that skips some
-        cannot be used.
+        A second target resumes after the last event id that it was sent. If it starts
+        over, its repeated events are dropped; if it skips events, its stream cannot
+        be used.
         """
         if event.event_id is None:
             return True
--- a/src/endivegw/relay/handler.py
+++ b/src/endivegw/relay/handler.py
@@ -1,11 +1,11 @@
-"""Handle one caller's request: admit it and carry it to its end, or refuse it."""
+"""Handle one caller's request: admit and run it, or refuse it."""
 
 from __future__ import annotations
 
 from endivegw.quarantine import Fingerprint
 from endivegw.relay.admission import admit
-from endivegw.relay.answers import own_answer
-from endivegw.relay.caller_connection import Answerer
+from endivegw.relay.answers import router_answer
+from endivegw.relay.caller_connection import AnswerWriter
 from endivegw.relay.context import RelayContext
 from endivegw.relay.messages import CallerRequest
 from endivegw.relay.request_run import RequestRun
@@ -21,32 +21,32 @@
     def __init__(self, context: RelayContext) -> None:
         self._context = context
 
-    async def handle(self, request: CallerRequest, answerer: Answerer) -> None:
-        """Answer one request."""
+    async def handle(self, request: CallerRequest, writer: AnswerWriter) -> None:
+        """Handle one request and write its answer."""
         context = self._context
         admitted = admit(
             request, context.table, context.wire, context.rng, context.clock()
         )
         if isinstance(admitted, Refused):
-            await self._answer_self(None, admitted, answerer)
+            await self._send_refusal(None, admitted, writer)
             return
         if len(context.quarantine.ledger):
             fingerprint = admitted.fingerprint
             refused = context.quarantine.refuse(fingerprint)
             if refused is not None:
                 request_id = admitted.request_id
-                await self._answer_self(request_id, refused, answerer, fingerprint)
+                await self._send_refusal(request_id, refused, writer, fingerprint)
                 return
-        await RequestRun(context, admitted, answerer).run()
+        await RequestRun(context, admitted, writer).run()
 
-    async def _answer_self(
+    async def _send_refusal(
         self,
         request_id: str | None,
         end: Refused,
-        answerer: Answerer,
+        writer: AnswerWriter,
         fingerprint: Fingerprint | None = None,
     ) -> None:
-        answer = own_answer(end)
+        answer = router_answer(end)
         self._context.metrics.refused(end.reason.value)
         table = self._context.table
         self._context.log.emit(
@@ -58,5 +58,5 @@
             version=table.version if table else None,
             fingerprint=fingerprint,
         )
-        fields = self._context.wire.own_answer(request_id) + answer.fields()
-        await answerer.whole(answer.status, fields, answer.body())
+        fields = self._context.wire.router_answer_fields(request_id) + answer.fields()
+        await writer.send_complete(answer.status, fields, answer.body())
--- a/src/endivegw/relay/messages.py
+++ b/src/endivegw/relay/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the relay passes them on."""
+"""HTTP messages that the relay forwards."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 __all__ = ["CallerRequest", "TargetHead", "end_to_end"]
 
-#: Fields that concern one connection only.
+#: Header fields that apply to a single connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -28,12 +28,12 @@
 
 @frozen
 class CallerRequest:
-    """Hold one whole request.
+    """Hold one complete request.
 
     :param target: path and query as sent.
-    :param fields: header fields in order; names in lower case.
-    :param last: whether the caller's connection ends after the answer.
-    :param arrived_s: when its last byte was read.
+    :param fields: header fields in order, with names in lower case.
+    :param close_after: whether the caller's connection is closed after the answer.
+    :param arrived_s: time at which the last byte of the request was read.
     """
 
     method: bytes
@@ -41,7 +41,7 @@
     fields: HeaderFields
     body: bytes = b""
     http_version: bytes = b"1.1"
-    last: bool = False
+    close_after: bool = False
     arrived_s: float = 0.0
 
     @property
@@ -51,7 +51,7 @@
 
     @property
     def host(self) -> str:
-        """Return the host without a port, in lower case."""
+        """Return the host without the port, in lower case."""
         for name, value in self.fields:
             if name == b"host":
                 return value.decode("latin-1").partition(":")[0].strip().lower()
@@ -67,7 +67,7 @@
 
 
 def end_to_end(fields: HeaderFields) -> HeaderFields:
-    """Return the fields that are passed on."""
+    """Return the header fields that are forwarded."""
     named: set[bytes] = set()
     for name, value in fields:
         if name == b"connection":
--- a/src/endivegw/relay/request_parser.py
+++ b/src/endivegw/relay/request_parser.py
@@ -1,9 +1,9 @@
-"""Cut a caller's bytes into whole requests, strictly.
+"""Parse a caller's bytes into requests, strictly.
 
-Two readers of the same bytes that disagree on where a request ends let a caller
-hide one request in another: the hidden one would run under nobody's name. What
-leaves room for that (two lengths, a length beside chunks, bare line feeds) is
-refused here, before a parser sees it that would choose one reading.
+If two parsers disagree on where a request ends, a caller can smuggle one request
+inside another, and the smuggled request would run without authentication. Ambiguous
+framing (two lengths, a length together with chunks, bare line feeds) is therefore
+rejected here, before a parser sees it that would choose one interpretation.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from endivegw.relay.wire import HeaderFields
 from endivegw.routing import CallerLimits
 
-__all__ = ["Malformed", "RequestParser"]
+__all__ = ["MalformedRequest", "RequestParser"]
 
 _BAD_REQUEST = 400
 _BODY_TOO_LARGE = 413
@@ -28,8 +28,8 @@
 
 
 @frozen
-class Malformed:
-    """Say that what a caller sent is not a request, and with which status."""
+class MalformedRequest:
+    """Hold the status and detail of the answer to input that is not a request."""
 
     status: int
     detail: str
@@ -37,13 +37,14 @@
 
 @define
 class RequestParser:
-    """Take bytes in, give whole requests out.
+    """Parse received bytes into complete requests.
 
-    :ivar wants_continue: whether the caller waits for leave to send its body.
+    :ivar expects_continue: whether the caller waits for ``100 Continue`` before it
+        sends the body.
     """
 
     limits: CallerLimits
-    wants_continue: bool = False
+    expects_continue: bool = False
     _buffer: bytearray = field(factory=bytearray)
     _parser: h11.Connection | None = None
     _head: h11.Request | None = None
@@ -51,28 +52,28 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether no byte of a next request has come."""
+        """Return whether no byte of a next request has been received."""
         return self._parser is None and not self._buffer
 
     @property
     def in_body(self) -> bool:
-        """Return whether a whole head was read and the body is not complete."""
+        """Return whether the head was parsed and the body is incomplete."""
         return self._parser is not None
 
     @property
     def buffered_bytes(self) -> int:
-        """Return what is held."""
+        """Return the number of buffered bytes."""
         return len(self._buffer) + len(self._body)
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes as they came."""
+        """Add received bytes to the buffer."""
         self._buffer += data
 
-    def next_request(self, now_s: float) -> CallerRequest | Malformed | None:
-        """Return the next request, None until more bytes come."""
+    def next_request(self, now_s: float) -> CallerRequest | MalformedRequest | None:
+        """Return the next request, None if more bytes are needed."""
         try:
             if self._parser is None:
-                refusal = self._begin()
+                refusal = self._parse_head()
                 if refusal is not None or self._parser is None:
                     return refusal
             else:
@@ -80,25 +81,31 @@
                 self._buffer.clear()
             return self._read_body(now_s)
         except h11.RemoteProtocolError as error:
-            return Malformed(error.error_status_hint, str(error))
+            return MalformedRequest(error.error_status_hint, str(error))
 
-    def _begin(self) -> Malformed | None:
-        """Read a head as soon as all of it is there."""
+    def _parse_head(self) -> MalformedRequest | None:
+        """Parse the head once it has been received completely."""
         while self._buffer[:2] == b"\r\n":
-            # Blank lines before a request are allowed.
+            # Blank lines before a request line are allowed (RFC 9112, section 2.2).
             del self._buffer[:2]
         end = self._buffer.find(_HEAD_END)
         head = self._buffer if end < 0 else self._buffer[: end + len(_HEAD_END)]
         if len(head) > self.limits.head_bytes:
-            return Malformed(_HEAD_TOO_LARGE, "the head is too long")
+            return MalformedRequest(
+                _HEAD_TOO_LARGE,
+                f"request head of {len(head)} bytes exceeds the limit of "
+                f"{self.limits.head_bytes}",
+            )
         if head.count(b"\n") != head.count(b"\r\n"):
-            return Malformed(_BAD_REQUEST, "a bare line feed in the head")
+            return MalformedRequest(
+                _BAD_REQUEST, "the request head contains a bare line feed"
+            )
         if end < 0:
             return None
         if len(_LENGTH_FIELD.findall(head)) > 1:
-            # The parser makes one of equal lengths; a target may take the second
-            # for part of something else.
-            return Malformed(_BAD_REQUEST, "more than one length of the body")
+            # h11 merges equal lengths into one; a target may interpret the second
+            # field differently.
+            return MalformedRequest(_BAD_REQUEST, "conflicting body lengths")
         self._parser = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self.limits.head_bytes
         )
@@ -106,12 +113,12 @@
         self._buffer.clear()
         event = self._parser.next_event()
         if not isinstance(event, h11.Request):
-            return Malformed(_BAD_REQUEST, "not a request")
+            return MalformedRequest(_BAD_REQUEST, "the input is not an HTTP request")
         self._head = event
-        self.wants_continue = self._parser.they_are_waiting_for_100_continue
-        return _check(event, self.limits)
+        self.expects_continue = self._parser.they_are_waiting_for_100_continue
+        return _validate_head(event, self.limits)
 
-    def _read_body(self, now_s: float) -> CallerRequest | Malformed | None:
+    def _read_body(self, now_s: float) -> CallerRequest | MalformedRequest | None:
         assert self._parser is not None and self._head is not None
         while True:
             event = self._parser.next_event()
@@ -119,13 +126,17 @@
                 case h11.Data():
                     self._body += event.data
                     if len(self._body) > self.limits.body_bytes:
-                        return Malformed(_BODY_TOO_LARGE, "the body is too large")
+                        return MalformedRequest(
+                            _BODY_TOO_LARGE,
+                            f"request body of {len(self._body)} bytes exceeds the "
+                            f"limit of {self.limits.body_bytes}",
+                        )
                 case h11.EndOfMessage():
-                    return self._end(now_s)
+                    return self._finish_request(now_s)
                 case _:
                     return None
 
-    def _end(self, now_s: float) -> CallerRequest:
+    def _finish_request(self, now_s: float) -> CallerRequest:
         assert self._parser is not None and self._head is not None
         head = self._head
         request = CallerRequest(
@@ -134,8 +145,8 @@
             fields=list(head.headers),
             body=bytes(self._body),
             http_version=head.http_version,
-            last=self._parser.our_state is h11.MUST_CLOSE
-            or _closes(list(head.headers), head.http_version),
+            close_after=self._parser.our_state is h11.MUST_CLOSE
+            or _requests_close(list(head.headers), head.http_version),
             arrived_s=now_s,
         )
         rest, _ = self._parser.trailing_data
@@ -143,26 +154,32 @@
         self._parser = None
         self._head = None
         self._body = bytearray()
-        self.wants_continue = False
+        self.expects_continue = False
         return request
 
 
-def _check(head: h11.Request, limits: CallerLimits) -> Malformed | None:
+def _validate_head(head: h11.Request, limits: CallerLimits) -> MalformedRequest | None:
     names = [name for name, _ in head.headers]
     lengths = names.count(b"content-length")
     encodings = names.count(b"transfer-encoding")
     if lengths > 1 or encodings > 1 or (lengths and encodings):
-        return Malformed(_BAD_REQUEST, "more than one length of the body")
+        return MalformedRequest(_BAD_REQUEST, "conflicting body lengths")
     if names.count(b"host") != 1:
-        return Malformed(_BAD_REQUEST, "not exactly one host")
+        return MalformedRequest(
+            _BAD_REQUEST, "the request must have exactly one Host field"
+        )
     if not head.target.startswith(b"/"):
-        return Malformed(_BAD_REQUEST, "the target is not a path")
+        return MalformedRequest(_BAD_REQUEST, "the request target is not a path")
     for name, value in head.headers:
         if name == b"content-length" and int(value) > limits.body_bytes:
-            return Malformed(_BODY_TOO_LARGE, "the body is too large")
+            return MalformedRequest(
+                _BODY_TOO_LARGE,
+                f"request body of {int(value)} bytes exceeds the limit of "
+                f"{limits.body_bytes}",
+            )
     return None
 
 
-def _closes(fields: HeaderFields, http_version: bytes) -> bool:
+def _requests_close(fields: HeaderFields, http_version: bytes) -> bool:
     options = b",".join(value for name, value in fields if name == b"connection")
     return http_version < b"1.1" or b"close" in options.lower()
--- a/src/endivegw/relay/request_progress.py
+++ b/src/endivegw/relay/request_progress.py
@@ -1,64 +1,76 @@
-"""What became of one request so far, and what its attempts say of their targets."""
+"""Progress of one request, and what its attempts indicate about their targets."""
 
 from __future__ import annotations
 
 from attrs import define, field
 
 from endivegw.decisions import AttemptKind
-from endivegw.relay.attempt import AttemptResult, End, StreamPassed
+from endivegw.relay.attempt import AttemptOutcome, AttemptResult, StreamProgress
 from endivegw.types import TargetName
 
-__all__ = ["SERVER_ERROR", "RequestProgress", "attempt_kind", "lower_quartile"]
+__all__ = [
+    "MIN_SERVER_ERROR_STATUS",
+    "RequestProgress",
+    "attempt_kind",
+    "lower_quartile",
+]
 
-#: The smallest status by which a target says that it failed.
-SERVER_ERROR = 500
+#: The lowest HTTP status that reports a failure of the target.
+MIN_SERVER_ERROR_STATUS = 500
 
-#: Pauses of an answer from which on they say how fast its target is.
-_LEAST_PAUSES = 8
+#: Minimum number of pauses in an answer from which a target's speed is estimated.
+_MIN_PAUSES = 8
 
 
 @define
 class RequestProgress:
-    """Count what became of one request.
+    """Track the progress of one request over all attempts.
 
-    :ivar sent: targets that the request went to.
-    :ivar maybe_run: whether some target may have run it.
-    :ivar last_s: when events were passed on last.
+    :ivar send_count: number of attempts that sent the request to a target.
+    :ivar may_have_run: whether some target may have run the request.
+    :ivar excluded: targets that must not receive the request again.
+    :ivar first_data_s: time at which the first data of an answer arrived.
+    :ivar last_relayed_s: time at which events were last relayed.
+    :ivar pauses_s: pauses between relayed batches of events.
+    :ivar target: target of the latest attempt.
     """
 
-    passed: StreamPassed
-    sent: int = 0
-    maybe_run: bool = False
+    stream_progress: StreamProgress
+    send_count: int = 0
+    may_have_run: bool = False
     excluded: set[TargetName] = field(factory=set)
-    first_s: float | None = None
-    last_s: float | None = None
+    first_data_s: float | None = None
+    last_relayed_s: float | None = None
     pauses_s: list[float] = field(factory=list)
     target: str = ""
 
 
 def lower_quartile(pauses_s: list[float]) -> float | None:
-    """Return the pause that a quarter is below, None where there are too few."""
-    if len(pauses_s) < _LEAST_PAUSES:
+    """Return the lower quartile of the pauses, None if there are too few of them."""
+    if len(pauses_s) < _MIN_PAUSES:
         return None
     return sorted(pauses_s)[len(pauses_s) // 4]
 
 
 def attempt_kind(result: AttemptResult, done: bool) -> AttemptKind:
-    """Return how the dispatcher sees an attempt.
+    """Return the kind of an attempt as it is reported to the dispatcher.
 
-    :param done: whether it ended by itself.
+    :param done: whether the attempt ended without being cancelled.
     """
     if not done:
         return AttemptKind.CANCELLED
-    match result.end:
-        case End.ANSWERED:
+    match result.outcome:
+        case AttemptOutcome.ANSWERED:
             answer = result.answer
-            failed = answer is not None and answer.head.status >= SERVER_ERROR
+            failed = (
+                answer is not None and answer.head.status >= MIN_SERVER_ERROR_STATUS
+            )
             return AttemptKind.FAILED if failed else AttemptKind.OK
-        case End.NOT_RUN if not result.paused:
+        case AttemptOutcome.NOT_RUN if not result.paused:
             return AttemptKind.REFUSED
-        case End.NOT_RUN | End.HELD_BACK:
-            # It is left alone for as long as it asked; that is all it wants.
+        case AttemptOutcome.NOT_RUN | AttemptOutcome.HELD_BACK:
+            # The pause that the target asked for is applied separately, so the
+            # attempt must not count against its health.
             return AttemptKind.CANCELLED
         case _:
             return AttemptKind.FAILED
--- a/src/endivegw/relay/request_run.py
+++ b/src/endivegw/relay/request_run.py
@@ -1,4 +1,4 @@
-"""Carry one admitted request to its end: reserve, place, send, answer, settle."""
+"""Run one admitted request: reserve tokens, place, send, answer and settle it."""
 
 from __future__ import annotations
 
@@ -8,62 +8,63 @@
 
 from endivegw.allowances import Reservation
 from endivegw.decisions import AttemptEnd, Placement
-from endivegw.relay.admission import Admitted, model_of, work_item
-from endivegw.relay.answers import own_answer
+from endivegw.relay.admission import AdmittedRequest, model_of, work_item
+from endivegw.relay.answers import router_answer
 from endivegw.relay.attempt import (
     Attempt,
+    AttemptOutcome,
     AttemptResult,
-    End,
-    StreamPassed,
-    WholeAnswer,
+    CompleteAnswer,
+    StreamProgress,
 )
-from endivegw.relay.caller_connection import Answerer
+from endivegw.relay.caller_connection import AnswerWriter
 from endivegw.relay.context import RelayContext
 from endivegw.relay.events import EventOrder
 from endivegw.relay.messages import TargetHead, end_to_end
 from endivegw.relay.request_progress import (
-    SERVER_ERROR,
+    MIN_SERVER_ERROR_STATUS,
     RequestProgress,
     attempt_kind,
     lower_quartile,
 )
-from endivegw.relay.suspicion import Suspicion
-from endivegw.relay.target_connection import Outgoing
-from endivegw.relay.target_word import take_word
-from endivegw.relay.wire import SendMarks
+from endivegw.relay.suspicion import QuarantineCheck
+from endivegw.relay.target_connection import OutgoingRequest
+from endivegw.relay.target_report import apply_target_report
+from endivegw.relay.wire import SendMetadata
 from endivegw.results import Reason, Refused, Unknown
 from endivegw.routing import RouteKind
 from endivegw.telemetry.catalogue import relay as events
 
 __all__ = ["RequestRun"]
 
-#: Ends of attempts that sent nothing.
-_UNSENT = (End.NOT_SENT, End.HELD_BACK)
+#: Outcomes of attempts that sent nothing.
+_UNSENT_OUTCOMES = (AttemptOutcome.NOT_SENT, AttemptOutcome.HELD_BACK)
 
-#: When a caller should come back whose request a target refused to run: full
-#: targets have let several answers go by then.
+#: Retry-after in seconds where a target refused to run the request. A fully loaded
+#: target completes several answers within this time.
 _REFUSED_RETRY_S = 0.2
 
-#: The same where the target was replaced: the router knows better at once.
+#: Retry-after in seconds where the target was replaced. The router corrects its list
+#: of targets at once.
 _REPLACED_RETRY_S = 0.05
 
 
 class RequestRun:
-    """Carry one admitted request to its end."""
+    """Run one admitted request from its token reservation to its settlement."""
 
     def __init__(
-        self, context: RelayContext, admitted: Admitted, answerer: Answerer
+        self, context: RelayContext, admitted: AdmittedRequest, writer: AnswerWriter
     ) -> None:
         self._context = context
         self._admitted = admitted
-        self._answerer = answerer
-        after = admitted.marks.resume_after
-        self._progress = RequestProgress(StreamPassed(EventOrder(after)))
+        self._writer = writer
+        after = admitted.metadata.resume_after
+        self._progress = RequestProgress(StreamProgress(EventOrder(after)))
         self._reservation: Reservation | None = None
-        self._suspicion = Suspicion(context, admitted)
+        self._quarantine_check = QuarantineCheck(context, admitted)
 
     async def run(self) -> None:
-        """Answer the request, and settle what it consumed."""
+        """Answer the request, and settle the tokens that it consumed."""
         left_s = self._admitted.deadline_s - self._context.clock()
         outcome = "caller-left"
         try:
@@ -71,19 +72,19 @@
                 outcome = await self._serve()
             if scope.cancelled_caught:
                 outcome = "deadline"
-                await self._end(self._expired())
+                await self._send_router_answer(self._deadline_result())
         finally:
             self._settle(outcome)
 
     async def _serve(self) -> str:
         refused = await self._reserve()
         if refused is None:
-            end = await self._attempts()
+            end = await self._run_attempts()
             if not isinstance(end, (Refused, Unknown)):
                 return end
         else:
             end = refused
-        await self._end(end)
+        await self._send_router_answer(end)
         return end.reason.value
 
     async def _reserve(self) -> Refused | None:
@@ -91,44 +92,44 @@
         if not admitted.metered:
             return None
         assert admitted.account is not None
-        held = await self._context.allowances.reserve(
+        result = await self._context.allowances.reserve(
             admitted.account.name, admitted.tokens, admitted.request_id
         )
-        if isinstance(held, Refused):
-            return held
-        self._reservation = held
+        if isinstance(result, Refused):
+            return result
+        self._reservation = result
         return None
 
     @property
     def _reserved_tokens(self) -> int:
         return self._reservation.tokens if self._reservation else 0
 
-    async def _attempts(self) -> str | Refused | Unknown:
-        """Send until an answer is there or nothing more may be sent."""
+    async def _run_attempts(self) -> str | Refused | Unknown:
+        """Attempt targets until one answers or no further attempt is allowed."""
         self._context.retries.first_attempt(self._context.clock())
-        last: Refused | Unknown | None = None
-        spare: WholeAnswer | None = None
+        last_result: Refused | Unknown | None = None
+        fallback: CompleteAnswer | None = None
         while True:
             placement = await self._place()
             if isinstance(placement, Refused):
-                if spare is not None:
-                    return await self._pass_on(spare)
-                return last or placement
+                if fallback is not None:
+                    return await self._relay_answer(fallback)
+                return last_result or placement
             result = await self._attempt(placement)
-            last = self._conclude(placement, result)
-            if last is None:
-                assert result.end is End.ANSWERED
+            last_result = self._evaluate(placement, result)
+            if last_result is None:
+                assert result.outcome is AttemptOutcome.ANSWERED
                 if result.answer is None:
-                    await self._answerer.end()
+                    await self._writer.finish()
                     return "answered"
-                if not self._wants_better(result.answer):
-                    return await self._pass_on(result.answer)
-                spare = result.answer
+                if not self._should_retry_answer(result.answer):
+                    return await self._relay_answer(result.answer)
+                fallback = result.answer
             if not self._may_send_again(result):
-                if spare is not None:
-                    return await self._pass_on(spare)
-                assert last is not None
-                return last
+                if fallback is not None:
+                    return await self._relay_answer(fallback)
+                assert last_result is not None
+                return last_result
 
     async def _place(self) -> Placement | Refused:
         context = self._context
@@ -139,14 +140,14 @@
         )
         placement = await context.queue.place(item)
         if isinstance(placement, Placement):
-            refused = self._suspicion.refusal()
+            refused = self._quarantine_check.refusal()
             if refused is not None:
-                unsent = AttemptResult(End.NOT_SENT, refused.detail)
-                self._report(placement, unsent, False)
+                unsent = AttemptResult(AttemptOutcome.NOT_SENT, refused.detail)
+                self._report_attempt(placement, unsent, False)
                 return refused
             figures = placement.figures
             context.metrics.queued(figures.queued_s)
-            if self._progress.sent:
+            if self._progress.send_count:
                 context.metrics.sent_again()
             context.log.emit(
                 events.REQUEST_PLACED,
@@ -172,55 +173,63 @@
             context.pool,
             context.wire,
             admitted.request_id,
-            progress.passed,
-            self._pass_head,
-            self._pass_events,
-            self._note_first,
+            progress.stream_progress,
+            self._relay_head,
+            self._relay_events,
+            self._record_first_data,
             lambda: context.queue.dispatcher.availability.accepts_work(
                 placement.target, context.clock()
             ),
-            lambda marks: take_word(context, admitted.request_id, placement, marks),
-            self._answerer.cancel_if_left,
+            lambda metadata: apply_target_report(
+                context, admitted.request_id, placement, metadata
+            ),
+            self._writer.cancel_if_caller_left,
         )
         progress.target = placement.target
         result: AttemptResult | None = None
         try:
             result = await attempt.run(
                 placement.address,
-                self._outgoing(placement),
-                fresh=not kind.may_repeat,
+                self._build_request(placement),
+                require_fresh=not kind.may_repeat,
                 stream=kind.is_stream,
-                silence_s=context.limits.silence_s if kind.may_repeat else None,
+                stall_timeout_s=(
+                    context.limits.stall_timeout_s if kind.may_repeat else None
+                ),
             )
         finally:
             if result is None:
-                # Cancelled: what never left for the target is not charged.
-                end = End.LOST if attempt.sent else End.NOT_SENT
-                self._report(placement, AttemptResult(end, "cancelled"), False)
-        self._report(placement, result, True)
-        await self._suspicion.note(placement, result)
+                # The attempt was cancelled. An unsent request is not charged.
+                end = AttemptOutcome.LOST if attempt.sent else AttemptOutcome.NOT_SENT
+                self._report_attempt(placement, AttemptResult(end, "cancelled"), False)
+        self._report_attempt(placement, result, True)
+        await self._quarantine_check.record_attempt(placement, result)
         return result
 
-    def _outgoing(self, placement: Placement) -> Outgoing:
+    def _build_request(self, placement: Placement) -> OutgoingRequest:
         admitted = self._admitted
         request = admitted.request
-        marks = SendMarks(
+        metadata = SendMetadata(
             instance_id=placement.instance_id,
             client_account=admitted.account.name if admitted.account else None,
             deadline_s=admitted.deadline_s - self._context.clock(),
-            resume_after=self._progress.passed.order.last_id,
+            resume_after=self._progress.stream_progress.order.last_id,
             copy_from=placement.copy_from,
         )
-        fields = self._context.wire.write_send(end_to_end(request.fields), marks)
-        return Outgoing(request.method, request.target, fields, request.body)
+        fields = self._context.wire.write_target_fields(
+            end_to_end(request.fields), metadata
+        )
+        return OutgoingRequest(request.method, request.target, fields, request.body)
 
-    def _report(self, placement: Placement, result: AttemptResult, done: bool) -> None:
-        """Tell the dispatcher how the attempt ended, and count it."""
+    def _report_attempt(
+        self, placement: Placement, result: AttemptResult, done: bool
+    ) -> None:
+        """Report the result of an attempt to the dispatcher, and count the attempt."""
         context = self._context
-        if result.end not in _UNSENT:
-            self._progress.sent += 1
-        if result.end in (End.ANSWERED, End.LOST):
-            self._progress.maybe_run = True
+        if result.outcome not in _UNSENT_OUTCOMES:
+            self._progress.send_count += 1
+        if result.outcome in (AttemptOutcome.ANSWERED, AttemptOutcome.LOST):
+            self._progress.may_have_run = True
         output = self._output_tokens()
         pauses_s = self._progress.pauses_s
         end = AttemptEnd(
@@ -233,54 +242,60 @@
             self._admitted.request_id, placement.target, end, context.clock()
         )
         context.queue.kick()
-        if done and result.end is not End.ANSWERED:
+        if done and result.outcome is not AttemptOutcome.ANSWERED:
             context.log.emit(
                 events.ATTEMPT_FAILED,
                 request_id=self._admitted.request_id,
                 target=placement.target,
                 address=placement.address,
-                end=result.end.value,
+                end=result.outcome.value,
                 detail=result.detail,
-                events=self._progress.passed.events,
-                fingerprint=self._suspicion.fingerprint if result.broken else None,
+                events=self._progress.stream_progress.events,
+                fingerprint=(
+                    self._quarantine_check.fingerprint if result.broken else None
+                ),
             )
 
-    def _conclude(
+    def _evaluate(
         self, placement: Placement, result: AttemptResult
     ) -> Refused | Unknown | None:
-        """Return what the caller would be told now; None where there is an answer."""
+        """Return how the request ends without further attempts; None if answered."""
         self._progress.excluded.add(placement.target)
         if result.replaced:
             self._context.on_replaced(placement.instance_id, placement.started_ms)
-        match result.end:
-            case End.ANSWERED:
+        match result.outcome:
+            case AttemptOutcome.ANSWERED:
                 return None
-            case End.NOT_SENT | End.NOT_RUN | End.HELD_BACK:
-                if self._progress.maybe_run:
+            case (
+                AttemptOutcome.NOT_SENT
+                | AttemptOutcome.NOT_RUN
+                | AttemptOutcome.HELD_BACK
+            ):
+                if self._progress.may_have_run:
                     return Unknown(Reason.ANSWER_LOST, "an earlier answer was lost")
                 retry_s = _REPLACED_RETRY_S if result.replaced else _REFUSED_RETRY_S
-                retry_s = max(retry_s, self._back_in_s())
+                retry_s = max(retry_s, self._available_in_s())
                 return Refused(Reason.OVERLOADED, f"not run: {result.detail}", retry_s)
-            case End.LOST:
+            case AttemptOutcome.LOST:
                 return Unknown(Reason.ANSWER_LOST, result.detail)
 
-    def _back_in_s(self) -> float:
-        """Return when some target takes work again; 0 where one does."""
+    def _available_in_s(self) -> float:
+        """Return the seconds until a target accepts work again; 0 if one does now."""
         availability = self._context.queue.dispatcher.availability
         model = model_of(self._admitted)
         back_s = availability.available_in_s(model, self._context.clock())
         return back_s if math.isfinite(back_s) else 0.0
 
-    def _wants_better(self, answer: WholeAnswer) -> bool:
-        """Return whether another target may do better than a failed answer."""
-        failed = answer.head.status >= SERVER_ERROR
+    def _should_retry_answer(self, answer: CompleteAnswer) -> bool:
+        """Return whether a server error may be retried on another target."""
+        failed = answer.head.status >= MIN_SERVER_ERROR_STATUS
         return failed and self._admitted.route.kind is RouteKind.REPEATABLE
 
     def _may_send_again(self, result: AttemptResult) -> bool:
-        """Return whether another target may be asked.
+        """Return whether the request may be sent to another target.
 
-        After a proof that nothing ran, always within the route's bound; after a
-        lost answer only where the request may run twice.
+        If nothing was sent, it may be up to the route's limit of targets. After a lost
+        or failed answer, the route must also allow a request to run twice.
         """
         route = self._admitted.route
         excluded = frozenset(self._progress.excluded)
@@ -288,81 +303,94 @@
         now_s = self._context.clock()
         if not availability.has_untried(model_of(self._admitted), excluded, now_s):
             return False
-        if result.end in _UNSENT and self._progress.sent < route.max_targets:
+        if (
+            result.outcome in _UNSENT_OUTCOMES
+            and self._progress.send_count < route.max_targets
+        ):
             return True
-        if self._progress.sent >= route.max_targets:
+        if self._progress.send_count >= route.max_targets:
             return False
-        if result.end in (End.LOST, End.ANSWERED) and not route.kind.may_repeat:
+        if (
+            result.outcome in (AttemptOutcome.LOST, AttemptOutcome.ANSWERED)
+            and not route.kind.may_repeat
+        ):
             return False
-        if self._suspicion.bars_retry(result):
+        if self._quarantine_check.forbids_retry(result):
             return False
         return self._context.retries.may_retry(now_s) is True
 
-    async def _pass_on(self, answer: WholeAnswer) -> str:
-        if self._answerer.begun:
+    async def _relay_answer(self, answer: CompleteAnswer) -> str:
+        if self._writer.started:
             return "cut"
         head = answer.head
-        await self._answerer.whole(head.status, head.fields, answer.body)
+        await self._writer.send_complete(head.status, head.fields, answer.body)
         return "answered"
 
-    async def _pass_head(self, head: TargetHead, data: bytes) -> None:
-        self._progress.last_s = self._context.clock()
-        await self._answerer.start(head.status, head.fields, data)
+    async def _relay_head(self, head: TargetHead, data: bytes) -> None:
+        self._progress.last_relayed_s = self._context.clock()
+        await self._writer.start(head.status, head.fields, data)
 
-    async def _pass_events(self, data: bytes) -> None:
+    async def _relay_events(self, data: bytes) -> None:
         progress = self._progress
         now_s = self._context.clock()
-        if progress.last_s is not None:
-            progress.pauses_s.append(now_s - progress.last_s)
-        progress.last_s = now_s
-        await self._answerer.piece(data)
+        if progress.last_relayed_s is not None:
+            progress.pauses_s.append(now_s - progress.last_relayed_s)
+        progress.last_relayed_s = now_s
+        await self._writer.send_chunk(data)
 
-    def _note_first(self) -> None:
-        if self._progress.first_s is None:
+    def _record_first_data(self) -> None:
+        if self._progress.first_data_s is None:
             now_s = self._context.clock()
-            self._progress.first_s = now_s
+            self._progress.first_data_s = now_s
             self._context.queue.dispatcher.first_token(self._admitted.request_id, now_s)
 
-    def _expired(self) -> Refused | Unknown:
-        """Return what a caller is told whose time is over."""
-        if self._progress.maybe_run:
-            return Unknown(Reason.TIMEOUT, "no answer within the request's time")
-        return Refused(Reason.DEADLINE, "no target took it within its time", 0.2)
+    def _deadline_result(self) -> Refused | Unknown:
+        """Return the result of a request whose deadline has passed."""
+        if self._progress.may_have_run:
+            return Unknown(Reason.TIMEOUT, "no answer before the request's deadline")
+        return Refused(
+            Reason.DEADLINE, "no target accepted the request before its deadline", 0.2
+        )
 
-    async def _end(self, end: Refused | Unknown) -> None:
-        """Answer without a target's answer; one that has begun can only be cut."""
-        if self._answerer.begun:
+    async def _send_router_answer(self, end: Refused | Unknown) -> None:
+        """Send a router-generated answer, unless an answer was already started.
+
+        A started answer can only be truncated.
+        """
+        if self._writer.started:
             return
-        answer = own_answer(end)
-        fields = self._context.wire.own_answer(self._admitted.marks.request_id)
-        await self._answerer.whole(
+        answer = router_answer(end)
+        fields = self._context.wire.router_answer_fields(
+            self._admitted.metadata.request_id
+        )
+        await self._writer.send_complete(
             answer.status, fields + answer.fields(), answer.body()
         )
 
     def _output_tokens(self) -> int:
-        """Return the tokens that the caller was sent, at the most."""
+        """Return the maximum number of tokens that the caller was sent."""
         table = self._context.table
         per_event = table.configuration.tokens_per_event if table else 1
-        sent = self._progress.passed.events * per_event
-        return min(sent, self._admitted.marks.most_output_tokens)
+        sent = self._progress.stream_progress.events * per_event
+        return min(sent, self._admitted.metadata.max_output_tokens)
 
     def _settle(self, outcome: str) -> None:
-        """Charge what was consumed, and write the request's one line."""
+        """Charge the consumed tokens, and log the end of the request."""
         charged = 0
         if self._reservation is not None:
-            if self._progress.maybe_run:
-                charged = (self._admitted.marks.prompt_tokens or 0) + (
+            if self._progress.may_have_run:
+                charged = (self._admitted.metadata.prompt_tokens or 0) + (
                     self._output_tokens()
                 )
             self._context.allowances.settle(self._reservation, charged)
-        self._log_end(outcome, charged)
+        self._log_request_ended(outcome, charged)
 
-    def _log_end(self, outcome: str, charged: int) -> None:
+    def _log_request_ended(self, outcome: str, charged: int) -> None:
         admitted = self._admitted
         progress = self._progress
         arrived_s = admitted.request.arrived_s
         now_s = self._context.clock()
-        first_s = progress.first_s
+        first_s = progress.first_data_s
         self._context.metrics.ended(
             admitted.route.kind.value,
             outcome,
@@ -377,14 +405,14 @@
             service=admitted.service,
             outcome=outcome,
             target=progress.target,
-            sends=progress.sent,
-            events=progress.passed.events,
+            sends=progress.send_count,
+            events=progress.stream_progress.events,
             first_s=None if first_s is None else round(first_s - arrived_s, 4),
             longest_gap_s=round(max(progress.pauses_s, default=0.0), 4),
             took_s=round(now_s - arrived_s, 4),
-            prompt_tokens=admitted.marks.prompt_tokens,
-            most_output_tokens=admitted.marks.most_output_tokens,
+            prompt_tokens=admitted.metadata.prompt_tokens,
+            most_output_tokens=admitted.metadata.max_output_tokens,
             reserved_tokens=self._reserved_tokens,
             charged_tokens=charged,
-            cut=self._answerer.cut,
+            cut=self._writer.truncated,
         )
--- a/src/endivegw/relay/sockets.py
+++ b/src/endivegw/relay/sockets.py
@@ -1,4 +1,4 @@
-"""Ask the kernel about a connection, past what the event loop has read of it."""
+"""Query the kernel for connection state that the event loop has not read yet."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 from anyio.abc import ByteStream, SocketAttribute
 
-__all__ = ["has_hung_up", "is_quiet"]
+__all__ = ["peer_has_closed", "has_no_pending_input"]
 
 
-def is_quiet(stream: ByteStream) -> bool:
-    """Return whether neither bytes nor an end wait to be read."""
+def has_no_pending_input(stream: ByteStream) -> bool:
+    """Return whether neither data nor an end of stream is waiting to be read."""
     return not _poll(stream, select.POLLIN)
 
 
-def has_hung_up(stream: ByteStream) -> bool:
-    """Return whether the other side has closed, also behind bytes that are unread."""
+def peer_has_closed(stream: ByteStream) -> bool:
+    """Return whether the peer has closed, even if unread data is still pending."""
     return bool(_poll(stream, select.POLLRDHUP))
 
 
 def _poll(stream: ByteStream, events: int) -> list[tuple[int, int]]:
-    """Return at once with what holds now; an error or a reset always counts."""
+    """Poll without waiting; an error or a reset is always reported."""
     poll = select.poll()
     poll.register(stream.extra(SocketAttribute.raw_socket), events)
     return poll.poll(0)
--- a/src/endivegw/relay/target_connection.py
+++ b/src/endivegw/relay/target_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a target: send a request, read the answer that is its own."""
+"""One connection to a target: send a request, and read the answer to it."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 from attrs import frozen
 
 from endivegw.relay.messages import TargetHead
-from endivegw.relay.sockets import is_quiet
+from endivegw.relay.sockets import has_no_pending_input
 from endivegw.relay.wire import HeaderFields
 
-__all__ = ["AnswerBroken", "Outgoing", "TargetConnection"]
+__all__ = ["AnswerBroken", "OutgoingRequest", "TargetConnection"]
 
-#: Bodies up to this many bytes fit the socket's buffers and are sent before the
+#: Bodies up to this many bytes fit into the socket buffers and are sent before the
 #: answer is read.
 _SMALL_BODY_BYTES = 16384
 
-#: How many answers to earlier requests are skipped before an answer is given up.
-_MOST_STALE = 2
+#: Maximum number of answers to earlier requests that are skipped before the request
+#: fails.
+_MAX_STALE_ANSWERS = 2
 
 _RECEIVE_BYTES = 65536
 
 
 class AnswerBroken(Exception):
-    """Say that an answer ended before its end, or is none."""
+    """Raised when an answer is missing, incomplete or not valid HTTP."""
 
 
 @frozen
-class Outgoing:
-    """Hold a request as it goes to a target."""
+class OutgoingRequest:
+    """Hold a request as it is sent to a target."""
 
     method: bytes
     target: bytes
@@ -42,50 +43,53 @@
 class TargetConnection:
     """Speak HTTP/1.1 with one target, one request at a time.
 
-    :param opened_s: when it was opened; the start of its first idle time.
+    :param opened_s: time at which the connection was opened; its first idle period
+        starts then.
     """
 
     def __init__(self, stream: SocketStream, address: str, opened_s: float) -> None:
         self._stream = stream
         self.address = address
         self.idle_since_s = opened_s
-        #: How long the target keeps an idle connection, None where unsaid.
+        #: Idle time-out that the target announced, None if it announced none.
         self.keep_alive_s: float | None = None
         self.used = False
         self._parser = h11.Connection(h11.CLIENT)
         self._sent = True
-        self._whole = False
+        self._complete = False
 
     @property
     def reusable(self) -> bool:
-        """Return whether the last exchange left the connection clean."""
+        """Return whether the last exchange left the connection ready for another."""
         return (
-            self._whole
+            self._complete
             and self._sent
             and self._parser.their_state is h11.DONE
             and self._parser.our_state is h11.DONE
             and not self._parser.trailing_data[0]
         )
 
-    def quiet(self) -> bool:
-        """Return whether nothing came while it was idle.
+    def has_no_input(self) -> bool:
+        """Return whether nothing was received while the connection was idle.
 
-        Bytes that came are part of no answer to come; an end means that the
-        target has closed it, and what is sent now would be lost.
+        Received bytes cannot belong to a future answer. An end of stream means that
+        the target has closed the connection, and a request sent now would be lost.
         """
-        return is_quiet(self._stream)
+        return has_no_pending_input(self._stream)
 
-    async def ask(
-        self, outgoing: Outgoing, is_own: Callable[[int, HeaderFields], bool]
+    async def send_request(
+        self,
+        outgoing: OutgoingRequest,
+        matches_request: Callable[[int, HeaderFields], bool],
     ) -> TargetHead:
         """Send a request and return the head of its answer.
 
-        :param is_own: whether an answer with this status and these fields is
+        :param matches_request: whether an answer with this status and these fields is
             the answer to this request.
-        :raises AnswerBroken: where none came; the request may have run.
+        :raises AnswerBroken: if no answer was received; the request may have run.
         """
         self.used = True
-        self._whole = False
+        self._complete = False
         self._sent = False
         self._parser = h11.Connection(h11.CLIENT)
         data = self._encode(outgoing)
@@ -93,17 +97,17 @@
             if len(outgoing.body) <= _SMALL_BODY_BYTES:
                 await self._stream.send(data)
                 self._sent = True
-                return await self._own_head(outgoing, is_own)
-            return await self._ask_at_length(outgoing, data, is_own)
+                return await self._read_matching_head(outgoing, matches_request)
+            return await self._send_large_request(outgoing, data, matches_request)
         except (anyio.BrokenResourceError, anyio.EndOfStream, OSError) as error:
             raise AnswerBroken(f"{type(error).__name__} before an answer") from error
         except h11.ProtocolError as error:
-            raise AnswerBroken(f"no answer in the protocol: {error}") from error
+            raise AnswerBroken(f"invalid HTTP answer: {error}") from error
 
     async def body(self) -> bytes | None:
-        """Return the next piece of the answer's body, None at its end.
+        """Return the next chunk of the answer's body, None at its end.
 
-        :raises AnswerBroken: where it ended before its end.
+        :raises AnswerBroken: if the body is incomplete.
         """
         try:
             while True:
@@ -112,21 +116,21 @@
                     case h11.Data():
                         return bytes(event.data)
                     case h11.EndOfMessage():
-                        self._whole = True
+                        self._complete = True
                         return None
                     case h11.ConnectionClosed():
-                        raise AnswerBroken("the connection ended")
+                        raise AnswerBroken("the connection closed within the answer")
                 await self._receive()
         except (anyio.BrokenResourceError, OSError) as error:
             raise AnswerBroken(f"{type(error).__name__} within an answer") from error
         except h11.ProtocolError as error:
-            raise AnswerBroken(f"an answer broke off: {error}") from error
+            raise AnswerBroken(f"incomplete answer: {error}") from error
 
     async def close(self) -> None:
-        """Close at once; a target stops work whose connection is gone."""
+        """Close at once, which makes the target stop work on the request."""
         await anyio.aclose_forcefully(self._stream)
 
-    def _encode(self, outgoing: Outgoing) -> bytes:
+    def _encode(self, outgoing: OutgoingRequest) -> bytes:
         fields = list(outgoing.fields)
         if outgoing.body or outgoing.method in (b"POST", b"PUT", b"PATCH"):
             fields.append((b"content-length", str(len(outgoing.body)).encode()))
@@ -139,17 +143,17 @@
         parts.append(self._parser.send(h11.EndOfMessage()))
         return b"".join(part for part in parts if part)
 
-    async def _ask_at_length(
+    async def _send_large_request(
         self,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         data: bytes,
-        is_own: Callable[[int, HeaderFields], bool],
+        matches_request: Callable[[int, HeaderFields], bool],
     ) -> TargetHead:
-        """Send a long body while the answer is awaited.
+        """Send a large body and wait for the answer concurrently.
 
-        A target may answer before it has read the body. Waiting for the send
-        first would leave both sides waiting; ending it midway leaves the
-        connection unusable, which :attr:`reusable` then says.
+        A target may answer before it has read the body. Waiting for the send first
+        could deadlock both sides. A send that is stopped midway leaves the connection
+        unusable, which :attr:`reusable` then reports.
         """
         broken: list[Exception] = []
 
@@ -158,14 +162,14 @@
                 await self._stream.send(data)
                 self._sent = True
             except (anyio.BrokenResourceError, OSError) as error:
-                # The answer may be there all the same; without one, reading
-                # fails as well and says so.
+                # An answer may have been received nevertheless. If not, reading it
+                # fails as well and reports the error.
                 broken.append(error)
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send)
             try:
-                head = await self._own_head(outgoing, is_own)
+                head = await self._read_matching_head(outgoing, matches_request)
             except (h11.ProtocolError, OSError, anyio.EndOfStream) as error:
                 failure: Exception | None = error
             except anyio.BrokenResourceError as error:
@@ -177,19 +181,21 @@
             raise AnswerBroken(f"no answer: {failure!r} {broken!r}") from failure
         return head
 
-    async def _own_head(
-        self, outgoing: Outgoing, is_own: Callable[[int, HeaderFields], bool]
+    async def _read_matching_head(
+        self,
+        outgoing: OutgoingRequest,
+        matches_request: Callable[[int, HeaderFields], bool],
     ) -> TargetHead:
-        """Return the first head that is this request's, skipping stale answers."""
-        for _ in range(_MOST_STALE):
-            head = await self._head()
-            if is_own(head.status, head.fields):
-                self._note_keep_alive(head)
+        """Return the head of this request's answer, skipping stale answers."""
+        for _ in range(_MAX_STALE_ANSWERS):
+            head = await self._read_head()
+            if matches_request(head.status, head.fields):
+                self._record_keep_alive(head)
                 return head
-            await self._skip(outgoing)
-        raise AnswerBroken("only answers to other requests came")
+            await self._skip_stale_answer(outgoing)
+        raise AnswerBroken("received only answers to other requests")
 
-    async def _head(self) -> TargetHead:
+    async def _read_head(self) -> TargetHead:
         while True:
             event = self._parser.next_event()
             match event:
@@ -198,21 +204,21 @@
                 case h11.InformationalResponse():
                     continue
                 case h11.ConnectionClosed() | h11.EndOfMessage():
-                    raise AnswerBroken("the connection ended before an answer")
+                    raise AnswerBroken("the connection closed before the answer")
             await self._receive()
 
-    async def _skip(self, outgoing: Outgoing) -> None:
-        """Read a stale answer to its end, and expect the next one."""
+    async def _skip_stale_answer(self, outgoing: OutgoingRequest) -> None:
+        """Read a stale answer to its end and prepare to read the next one."""
         while await self.body() is not None:
             pass
         rest, closed = self._parser.trailing_data
-        self._whole = False
+        self._complete = False
         self._parser = h11.Connection(h11.CLIENT)
         self._encode(outgoing)
         if rest:
             self._parser.receive_data(rest)
         if closed:
-            raise AnswerBroken("the connection ended after a stale answer")
+            raise AnswerBroken("the connection closed after a stale answer")
 
     async def _receive(self) -> None:
         try:
@@ -221,7 +227,7 @@
             data = b""
         self._parser.receive_data(data)
 
-    def _note_keep_alive(self, head: TargetHead) -> None:
+    def _record_keep_alive(self, head: TargetHead) -> None:
         for name, value in head.fields:
             if name != b"keep-alive":
                 continue
--- a/src/endivegw/relay/target_ends.py
+++ b/src/endivegw/relay/target_ends.py
@@ -1,4 +1,4 @@
-"""Find out whether a target ended or one connection to it broke."""
+"""Distinguish a terminated target from a single broken connection."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue import relay as events
 
-__all__ = ["TargetEnds"]
+__all__ = ["TerminationDetector"]
 
-#: Fingerprints that one log line names.
-_MOST_LOGGED = 32
+#: Maximum number of fingerprints in one log line.
+_MAX_LOGGED_FINGERPRINTS = 32
 
 
-class TargetEnds:
-    """Join lost sends with the ends of targets.
+class TerminationDetector:
+    """Match lost requests with terminations of targets.
 
-    :param pool: asked whether anybody listens at a target's address.
-    :param on_ended: takes the requests that were in progress at a target as it ended.
+    :param pool: probes whether a process listens at a target's address.
+    :param on_ended: called with a terminated target and the fingerprints of the
+        requests that were in progress there.
     """
 
     def __init__(
@@ -36,48 +37,51 @@
         self._clock = clock
         self._log = log
         self._sends = LostSends()
-        #: Questions under way; one serves all requests that a target lost.
-        self._asking: dict[TargetStart, anyio.Event] = {}
+        #: Probes in progress; one probe serves all requests that were lost at a target.
+        self._probes: dict[TargetStart, anyio.Event] = {}
 
-    async def lost(
+    async def record_lost_send(
         self, start: TargetStart, address: str, fingerprint: Fingerprint
     ) -> None:
-        """Take in that a connection broke with a request on it.
+        """Record that a connection broke while a request was in progress on it.
 
-        Returns once it is known whether anybody still listens at the address.
+        Returns once the address has been probed for a listening process.
         """
         if self._sends.record_loss(start, address, fingerprint, self._clock()):
-            self._tell(start, "ended-before", [fingerprint])
+            self._report(start, "ended-before", [fingerprint])
             return
-        asked = self._asking.get(start)
-        if asked is not None:
-            await asked.wait()
+        probe = self._probes.get(start)
+        if probe is not None:
+            await probe.wait()
             return
-        asked = self._asking[start] = anyio.Event()
+        probe = self._probes[start] = anyio.Event()
         try:
-            # The others wait for this answer, also where this caller leaves.
+            # Other requests wait for this probe, so it is shielded from the
+            # cancellation of this request.
             with anyio.CancelScope(shield=True):
-                if await self._pool.refuses(address):
-                    self.ended(start, "nobody-listens")
+                if await self._pool.refuses_connections(address):
+                    self.record_termination(start, "nobody-listens")
         finally:
-            del self._asking[start]
-            asked.set()
+            del self._probes[start]
+            probe.set()
 
-    def ended(self, start: TargetStart, source: str) -> None:
-        """Take in that a target ended.
+    def record_termination(self, start: TargetStart, source: str) -> None:
+        """Record that a target terminated.
 
-        :param source: what shows it.
+        :param source: the observation that proves it, as logged.
         """
         if self._sends.has_terminated(start):
             return
-        self._tell(start, source, self._sends.record_termination(start, self._clock()))
+        self._report(
+            start, source, self._sends.record_termination(start, self._clock())
+        )
 
-    def registered(self, start: TargetStart, address: str) -> None:
-        """Take in that a start of a target has an address now."""
+    def record_address(self, start: TargetStart, address: str) -> None:
+        """Record a target's address; earlier targets there have terminated."""
         for other in self._sends.other_starts_at(address, start):
-            self.ended(other, "address-taken")
+            self.record_termination(other, "address-taken")
 
-    def _tell(
+    def _report(
         self, start: TargetStart, source: str, fingerprints: list[Fingerprint]
     ) -> None:
         self._log.emit(
@@ -86,6 +90,6 @@
             started_ms=start.started_ms,
             source=source,
             lost=len(fingerprints),
-            fingerprints=fingerprints[:_MOST_LOGGED],
+            fingerprints=fingerprints[:_MAX_LOGGED_FINGERPRINTS],
         )
         self._on_ended(start, fingerprints)
--- /dev/null
+++ b/src/endivegw/relay/target_report.py
@@ -0,0 +1,46 @@
+"""Apply what a target reports about itself in the header fields of its answers."""
+
+from __future__ import annotations
+
+from endivegw.decisions import Placement
+from endivegw.quarantine import TargetStart
+from endivegw.relay.context import RelayContext
+from endivegw.relay.wire import AnswerMetadata
+from endivegw.telemetry.catalogue import relay as events
+
+__all__ = ["apply_target_report"]
+
+#: Maximum share by which a pause is extended at random, so that the routers do not
+#: all resume sending at the same instant.
+_PAUSE_JITTER = 0.1
+
+
+def apply_target_report(
+    context: RelayContext,
+    request_id: str,
+    placement: Placement,
+    metadata: AnswerMetadata,
+) -> None:
+    """Stop sending to a leaving target, and back off from one that asks for a pause.
+
+    :param request_id: id of the request during which the answer was read.
+    :param placement: placement of that request; its connection delivered the answer.
+    :param metadata: what the header fields of the answer state.
+    """
+    if not metadata.leaving and metadata.pause_s is None:
+        return
+    context.log.emit(
+        events.TARGET_SAID,
+        request_id=request_id,
+        target=placement.target,
+        leaving=metadata.leaving,
+        pause_s=metadata.pause_s,
+    )
+    if metadata.leaving:
+        start = TargetStart(placement.instance_id, placement.started_ms)
+        context.on_leaving(start, "answer")
+    if metadata.pause_s is not None:
+        pause_s = metadata.pause_s * (1.0 + _PAUSE_JITTER * context.rng.random())
+        until_s = context.clock() + pause_s
+        availability = context.queue.dispatcher.availability
+        availability.back_off(placement.target, placement.started_ms, until_s)
--- a/src/endivegw/relay/wire.py
+++ b/src/endivegw/relay/wire.py
@@ -1,7 +1,8 @@
-"""What a deployment's header fields mean, as the relay needs it.
+"""Interface between the relay and the header fields of a deployment.
 
-The relay knows HTTP. Which fields carry a request's id, deadline or account is
-the deployment's matter; an adapter says it through :class:`WirePort`.
+The relay implements HTTP. Which header fields carry a request's id, deadline or
+account depends on the deployment; an adapter that implements :class:`WirePort`
+translates them.
 """
 
 from __future__ import annotations
@@ -14,54 +15,60 @@
 from endivegw.types import ClientAccountName, InstanceId
 
 __all__ = [
-    "AnswerMarks",
-    "CallerMarks",
+    "AnswerMetadata",
+    "CallerMetadata",
     "HeaderFields",
     "PromptPart",
-    "SendMarks",
+    "SendMetadata",
     "WirePort",
 ]
 
-#: Header fields in order; names in lower case.
+#: Header fields in order, with names in lower case.
 HeaderFields = list[tuple[bytes, bytes]]
 
 
 @frozen
 class PromptPart:
-    """Hold one part of a prompt, which other prompts may share."""
+    """Hold one part of a prompt, which other prompts may share.
+
+    :param part_id: identifies the text of this part and of all preceding parts.
+    """
 
     part_id: str
     tokens: int
 
 
 @frozen
-class CallerMarks:
-    """Hold what a caller's header fields say.
-
-    :param request_id: the caller's id of this attempt; None where it sent none.
-    :param key: the account's key; None where there is none.
-    :param deadline_s: how long the caller waits from now; None where unsaid.
-    :param prompt_tokens: None where the request is not for a model.
-    :param most_output_tokens: the most that may be generated.
-    :param parts: the prompt in order.
-    :param resume_after: the last event that the caller has; None at the start.
+class CallerMetadata:
+    """Hold the metadata in a caller's header fields.
+
+    :param request_id: the caller's id of this attempt; None if it sent none.
+    :param key: the account's key; None if the request carries none.
+    :param deadline_s: seconds from now that the caller waits; None if not stated.
+    :param prompt_tokens: None if the request is not for a model.
+    :param max_output_tokens: maximum number of tokens that may be generated.
+    :param parts: the parts of the prompt in order.
+    :param resume_after: id of the last event that the caller has received; None if
+        the stream starts from the beginning.
     """
 
     request_id: str | None
     key: str | None
     deadline_s: float | None
     prompt_tokens: int | None = None
-    most_output_tokens: int = 0
+    max_output_tokens: int = 0
     parts: tuple[PromptPart, ...] = ()
     resume_after: int | None = None
 
 
 @frozen
-class SendMarks:
-    """Hold what a send to a target adds.
+class SendMetadata:
+    """Hold the metadata that is added to a request sent to a target.
 
-    :param priority: 0 goes first; None for the engine's usual.
-    :param resume_after: the last event that the caller has; None at the start.
+    :param deadline_s: seconds from now until the request's deadline.
+    :param priority: 0 is served first; None selects the engine's default.
+    :param resume_after: id of the last event that the caller has received; None if
+        the stream starts from the beginning.
     :param copy_from: address of a target whose cached tokens are copied first.
     """
 
@@ -74,15 +81,15 @@
 
 
 @frozen
-class AnswerMarks:
-    """Hold what a target's header fields say.
+class AnswerMetadata:
+    """Hold the metadata in the header fields of a target's answer.
 
-    :param request_id: whose answer it is; None where it does not say.
+    :param request_id: id of the request that is answered; None if not stated.
     :param not_run: whether the target states that it did not run the request.
-    :param replaced: whether it is another instance than the one that was meant.
-    :param leaving: whether the target says that it leaves.
-    :param pause_s: for how long the target wants nothing more; None where it does not
-        say.
+    :param replaced: whether another instance than the addressed one answered.
+    :param leaving: whether the target announces that it shuts down.
+    :param pause_s: how long the target asks to receive no requests; None if it does
+        not ask for a pause.
     """
 
     request_id: str | None
@@ -95,14 +102,16 @@
 class WirePort(Protocol):
     """Read and write the header fields of a deployment."""
 
-    def read_caller(self, fields: HeaderFields) -> CallerMarks | Refused:
-        """Return what a request says; refused where a field is malformed."""
+    def read_caller_fields(self, fields: HeaderFields) -> CallerMetadata | Refused:
+        """Return the metadata of a request; refused if a field is malformed."""
 
-    def write_send(self, fields: HeaderFields, marks: SendMarks) -> HeaderFields:
-        """Return the fields for a target: the caller's own and those added."""
+    def write_target_fields(
+        self, fields: HeaderFields, metadata: SendMetadata
+    ) -> HeaderFields:
+        """Return the fields for a target: the caller's and the added ones."""
 
-    def read_answer(self, status: int, fields: HeaderFields) -> AnswerMarks:
-        """Return what an answer says."""
+    def read_answer_fields(self, status: int, fields: HeaderFields) -> AnswerMetadata:
+        """Return the metadata of an answer."""
 
-    def own_answer(self, request_id: str | None) -> HeaderFields:
-        """Return the fields that an answer of the router itself carries."""
+    def router_answer_fields(self, request_id: str | None) -> HeaderFields:
+        """Return the fields that every router-generated answer carries."""
--- a/src/endivegw/targets/__init__.py
+++ b/src/endivegw/targets/__init__.py
@@ -1,4 +1,4 @@
-"""Adapters for what stands behind a sidecar: model engines and plain services."""
+"""Adapters for the targets beside a sidecar: model engines and plain services."""
 
 from endivegw.targets.http_service import HttpService
 from endivegw.targets.openai_engine import OpenAiEngine
--- a/src/endivegw/targets/engine_body.py
+++ b/src/endivegw/targets/engine_body.py
@@ -1,4 +1,4 @@
-"""Rewrite and read the JSON of the completions protocol."""
+"""Rewrite and parse the JSON of the completions protocol."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 __all__ = ["Chunk", "EngineBody", "parse_chunk", "parse_usage", "prepare_body"]
 
-#: Fields in which callers may bound the answer, by the age of their library.
-_BOUND_FIELDS = ("max_completion_tokens", "max_tokens")
+#: Fields that limit the length of the answer. Which one a caller sends depends on the
+#: version of its client library.
+_LIMIT_FIELDS = ("max_completion_tokens", "max_tokens")
 
 
 @frozen
 class EngineBody:
-    """Hold the body for the engine.
+    """Hold the request body for the engine.
 
-    :param caller_wants_usage: whether the caller asked for the usage chunk.
+    :param caller_wants_usage: whether the caller requested the usage chunk.
     """
 
     data: bytes
@@ -30,36 +31,38 @@
 
 @frozen
 class Chunk:
-    """Hold what one chunk of a streamed answer says.
+    """Hold the content of one chunk of a streamed answer.
 
-    :param tokens: how many tokens of text it holds, 0 or 1: engines that put
-        several tokens into one chunk correct the count in the final usage.
+    :param tokens: number of text tokens in the chunk, 0 or 1. Engines that put several
+        tokens into one chunk correct the count in the final usage.
+    :param usage_only: whether the chunk has no choices and only reports usage.
+    :param error: the engine's error message, empty if there is none.
     """
 
     tokens: int
     finish_reason: str
     usage: Usage | None
-    only_usage: bool
+    usage_only: bool
     error: str
 
 
 def prepare_body(request: EngineRequest) -> EngineBody | Refused:
-    """Return the caller's body as the engine is to get it.
+    """Return the caller's body as it is sent to the engine.
 
-    The bound on the answer is clamped to what the sidecar allows: the budget's
-    reservation holds no more, and an engine that ran on would overspend it.
+    The limit on the answer is clamped to what the sidecar allows: the budget's
+    reservation covers no more, and an engine that generated more would overspend it.
     """
     try:
         fields = json.loads(request.body)
     except ValueError as error:
-        return Refused(Reason.BAD_REQUEST, f"the body is no JSON: {error}")
+        return Refused(Reason.BAD_REQUEST, f"the body is not valid JSON: {error}")
     if not isinstance(fields, dict):
-        return Refused(Reason.BAD_REQUEST, "the body is no JSON object")
+        return Refused(Reason.BAD_REQUEST, "the body is not a JSON object")
     options = fields.get("stream_options")
     wants_usage = isinstance(options, dict) and options.get("include_usage") is True
-    bounds = [fields.pop(name, None) for name in _BOUND_FIELDS]
-    wanted = [bound for bound in bounds if isinstance(bound, int) and bound > 0]
-    fields["max_tokens"] = min([*wanted, request.max_completion_tokens])
+    limits = [fields.pop(name, None) for name in _LIMIT_FIELDS]
+    requested = [limit for limit in limits if isinstance(limit, int) and limit > 0]
+    fields["max_tokens"] = min([*requested, request.max_completion_tokens])
     fields["model"] = request.adapter or request.model
     fields["stream"] = True
     fields["stream_options"] = {"include_usage": True}
@@ -68,7 +71,7 @@
 
 
 def parse_usage(value: Any) -> Usage | None:
-    """Return the usage in an answer, None where there is none."""
+    """Return the usage in an answer, None if there is none."""
     if not isinstance(value, dict):
         return None
     prompt = value.get("prompt_tokens")
@@ -79,7 +82,7 @@
 
 
 def parse_chunk(data: bytes) -> Chunk | None:
-    """Return what a chunk says, None where it cannot be understood."""
+    """Parse a chunk; return None if it is malformed."""
     try:
         fields = json.loads(data)
     except ValueError:
--- a/src/endivegw/targets/http_common.py
+++ b/src/endivegw/targets/http_common.py
@@ -1,4 +1,4 @@
-"""Names and small steps of HTTP that the adapters of targets share."""
+"""HTTP helpers that the target adapters share."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     "HOP_BY_HOP",
     "MAX_CONNECTIONS",
     "default_pool",
-    "nothing_was_sent",
-    "reason_of",
+    "request_was_not_sent",
+    "error_reason",
 ]
 
-#: Header fields that belong to one connection and are not passed on.
+#: Header fields that apply to a single connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -30,15 +30,15 @@
     }
 )
 
-#: A sidecar fronts one target. Twice the largest batch that engines run today
-#: leaves room for orders and load reports beside the streams.
+#: Maximum connections to the one target of a sidecar. Twice the largest batch size of
+#: current engines leaves connections for orders and load reports beside the streams.
 MAX_CONNECTIONS = 512
 
 _KEEP_ALIVE_S = 30.0
 
 
 def default_pool() -> httpcore.AsyncConnectionPool:
-    """Return a pool for one target that does not retry on its own."""
+    """Return a connection pool for one target, without automatic retries."""
     return httpcore.AsyncConnectionPool(
         max_connections=MAX_CONNECTIONS,
         max_keepalive_connections=MAX_CONNECTIONS,
@@ -47,13 +47,12 @@
     )
 
 
-def nothing_was_sent(error: Exception) -> bool:
-    """Return whether the target cannot have seen the request.
+def request_was_not_sent(error: Exception) -> bool:
+    """Return whether the target cannot have received the request.
 
-    Only errors before the connection stood prove that. A write that failed
-    half-way, or a connection closed before the answer, proves nothing: the
-    target may have read the whole request. Taken for "not run", it would let
-    a request run twice.
+    Only an error before the connection was established proves that. After a write that
+    failed midway, or a connection that closed before the answer, the target may have
+    read the complete request. Treating that as "not run" could run a request twice.
     """
     before_connection = (
         httpcore.ConnectError,
@@ -64,8 +63,8 @@
     return isinstance(error, before_connection)
 
 
-def reason_of(error: Exception) -> Reason:
-    """Return the stable reason for an error of the HTTP library."""
+def error_reason(error: Exception) -> Reason:
+    """Return the reason code for an error of the HTTP library."""
     if isinstance(error, (httpcore.ConnectTimeout, httpcore.ConnectError)):
         return Reason.UNREACHABLE
     if isinstance(error, httpcore.PoolTimeout):
--- a/src/endivegw/targets/http_service.py
+++ b/src/endivegw/targets/http_service.py
@@ -10,31 +10,31 @@
 from endivegw.targets.http_common import (
     HOP_BY_HOP,
     default_pool,
-    nothing_was_sent,
-    reason_of,
+    error_reason,
+    request_was_not_sent,
 )
 from endivegw.targets.ports import EngineFailed, ServiceAnswerHead, ServiceRequest
 from endivegw.types import Usage
 
 __all__ = ["ATTEMPT_HEADER", "HttpService"]
 
-#: Lets a service, and whoever reads its log, tell tries of one call apart.
+#: Header that lets a service and its logs distinguish the attempts of one call.
 ATTEMPT_HEADER = "x-request-id"
 
 _CONNECT_TIMEOUT_S = 1.0
 
-#: The sidecar cuts a call off at its deadline. This bound is for a service
-#: that went silent while no deadline was near: beyond it a connection is dead.
-_SILENCE_TIMEOUT_S = 300.0
+#: Time without data after which a connection counts as dead. The sidecar itself ends a
+#: call at its deadline; this limit applies if the deadline is further away.
+_IDLE_TIMEOUT_S = 300.0
 
 HeaderFields = tuple[tuple[str, str], ...]
 
 
 class HttpService:
-    """Speak to one plain service.
+    """Client of one plain service.
 
-    :param base_url: scheme, host and port; calls are appended to it.
-    :param pool: connections to the service, an own pool where none is given.
+    :param base_url: scheme, host and port; the path of a call is appended to it.
+    :param pool: connections to the service; a new pool if none is given.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
     async def call(
         self, request: ServiceRequest, body: AsyncIterator[bytes]
     ) -> AsyncIterator[ServiceAnswerHead | bytes | EngineFailed]:
-        """Yield the head, then the body, or one failure in place of the rest."""
+        """Yield the head and the body; a failure replaces what is missing."""
         try:
             async with self._pool.stream(
                 request.method,
@@ -74,15 +74,15 @@
     "timeout": {
         "connect": _CONNECT_TIMEOUT_S,
         "pool": _CONNECT_TIMEOUT_S,
-        "read": _SILENCE_TIMEOUT_S,
-        "write": _SILENCE_TIMEOUT_S,
+        "read": _IDLE_TIMEOUT_S,
+        "write": _IDLE_TIMEOUT_S,
     }
 }
 
 
 def end_to_end(fields: HeaderFields) -> HeaderFields:
-    """Return the fields that are passed on: all but those of one connection."""
-    listed = {
+    """Return the fields that are forwarded: all but the hop-by-hop ones."""
+    connection_tokens = {
         token.strip().lower()
         for name, value in fields
         if name.lower() == "connection"
@@ -91,17 +91,17 @@
     return tuple(
         (name, value)
         for name, value in fields
-        if name.lower() not in HOP_BY_HOP and name.lower() not in listed
+        if name.lower() not in HOP_BY_HOP and name.lower() not in connection_tokens
     )
 
 
 def _request_headers(request: ServiceRequest) -> list[tuple[str, str]]:
-    kept = [
+    forwarded = [
         (name, value)
         for name, value in end_to_end(request.fields)
         if name.lower() != ATTEMPT_HEADER
     ]
-    return [*kept, (ATTEMPT_HEADER, request.attempt_id)]
+    return [*forwarded, (ATTEMPT_HEADER, request.attempt_id)]
 
 
 def _answer_fields(response: httpcore.Response) -> HeaderFields:
@@ -113,18 +113,18 @@
 
 
 async def _content(body: AsyncIterator[bytes]) -> AsyncIterator[bytes] | None:
-    """Return the body, None where it is empty.
+    """Return the body, None if it is empty.
 
-    A call without a body must not be sent with chunked framing: some services
-    refuse that for GET.
+    A call without a body must not be sent with chunked encoding, which some services
+    reject for GET.
     """
     async for first in body:
         if first:
-            return _chained(first, body)
+            return _chain(first, body)
     return None
 
 
-async def _chained(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
+async def _chain(first: bytes, rest: AsyncIterator[bytes]) -> AsyncIterator[bytes]:
     yield first
     async for data in rest:
         if data:
@@ -132,8 +132,8 @@
 
 
 def _failure(error: Exception) -> EngineFailed:
-    started = not nothing_was_sent(error)
-    reason = reason_of(error)
+    started = not request_was_not_sent(error)
+    reason = error_reason(error)
     if started and reason is Reason.UNREACHABLE:
         reason = Reason.TARGET_FAILED
     return EngineFailed(reason, repr(error), started, Usage(), True)
--- a/src/endivegw/targets/openai_engine.py
+++ b/src/endivegw/targets/openai_engine.py
@@ -1,8 +1,8 @@
-"""Adapter for engines that speak the common completions protocol over HTTP.
+"""Adapter for engines that implement the OpenAI completions protocol over HTTP.
 
-Beside the completions calls it uses a few small JSON endpoints, named in the
-constants below. Engines without them answer 404, which comes back as a
-refusal with ``NOT_FOUND``.
+In addition to the completions calls it uses a few small JSON endpoints, which the
+constants below name. Engines without these endpoints answer 404, which is returned as
+a refusal with ``NOT_FOUND``.
 """
 
 from __future__ import annotations
@@ -22,7 +22,11 @@
     parse_usage,
     prepare_body,
 )
-from endivegw.targets.http_common import default_pool, nothing_was_sent, reason_of
+from endivegw.targets.http_common import (
+    default_pool,
+    error_reason,
+    request_was_not_sent,
+)
 from endivegw.targets.ports import (
     CacheChange,
     EngineEnded,
@@ -46,20 +50,20 @@
 REQUEST_ID_HEADER = "x-request-id"
 DEADLINE_HEADER = "x-request-deadline-s"
 
-#: How long a connection to a target on the same machine may take.
+#: Limit for opening a connection to a target on the same machine.
 _CONNECT_TIMEOUT_S = 1.0
 
-#: How long a small JSON call may take.
+#: Time-out of a small JSON call.
 _CALL_TIMEOUT_S = 2.0
 
-#: How long an order may take: loading a large model takes minutes.
+#: Time-out of an order; loading a large model takes minutes.
 _ORDER_TIMEOUT_S = 600.0
 
-#: How long the cancellation of an abandoned answer is tried.
+#: Time-out for cancelling an abandoned answer.
 _CANCEL_TIMEOUT_S = 1.0
 
-#: Statuses by which an engine says that it did not begin.
-_NOT_BEGUN = {
+#: Statuses by which an engine reports that it did not start the request.
+_NOT_STARTED_REASONS = {
     400: Reason.BAD_REQUEST,
     401: Reason.BAD_REQUEST,
     404: Reason.UNKNOWN_MODEL,
@@ -75,22 +79,22 @@
 
 @define
 class _Progress:
-    """Follow one answer, to know what it has consumed when it breaks."""
+    """Track one answer, so that its consumption is known if it is interrupted."""
 
     tokens: int = 0
     finish_reason: str = ""
     usage: Usage | None = None
     done: bool = False
 
-    def lower_bound(self) -> Usage:
+    def min_usage(self) -> Usage:
         return self.usage or Usage(0, self.tokens)
 
 
 class OpenAiEngine:
-    """Speak to one engine.
+    """Client of one engine.
 
     :param base_url: scheme, host and port.
-    :param pool: connections to the engine, an own pool where none is given.
+    :param pool: connections to the engine; a new pool if none is given.
     """
 
     def __init__(
@@ -105,7 +109,7 @@
         await self._pool.aclose()
 
     def generate(self, request: EngineRequest) -> AsyncGenerator[EngineEvent, None]:
-        """Yield text, then one end or failure; closing it cancels."""
+        """Yield text, then one end or failure; closing the iterator cancels."""
         body = prepare_body(request)
         path = CHAT_PATH if request.chat else TEXT_PATH
         return self._stream(request, path, body, resumed=False)
@@ -113,7 +117,7 @@
     def resume(
         self, request: EngineRequest, pieces: int
     ) -> AsyncGenerator[EngineEvent, None]:
-        """Yield what follows the first ``pieces`` texts of a running answer."""
+        """Yield the events after the first ``pieces`` chunks of a running answer."""
         body = prepare_body(request)
         if isinstance(body, EngineBody):
             body = evolve(body, data=json.dumps({"after": pieces}).encode())
@@ -121,18 +125,20 @@
         return self._stream(request, path, body, resumed=True)
 
     async def cancel(self, attempt_id: AttemptId) -> Result[Usage]:
-        """Stop an answer; done with what it consumed."""
+        """Cancel an answer and return what it consumed."""
         path = f"{REQUESTS_PATH}/{attempt_id}/cancel"
         result = await self._call("POST", path, {}, _CALL_TIMEOUT_S)
         if not isinstance(result, Done):
             return result
         usage = parse_usage(result.value.get("usage"))
         if usage is None:
-            return Unknown(Reason.TARGET_FAILED, "the cancellation names no usage")
+            return Unknown(
+                Reason.TARGET_FAILED, "the answer to the cancellation reports no usage"
+            )
         return Done(usage)
 
     async def load(self) -> Result[EngineLoad]:
-        """Return the engine's own figures, with the cache events since the last."""
+        """Return the load report, with the cache events since the previous one."""
         path = f"{LOAD_PATH}?after={self._last_cache_sequence}"
         result = await self._call("GET", path, None, _CALL_TIMEOUT_S)
         if not isinstance(result, Done):
@@ -140,13 +146,17 @@
         try:
             load = _parse_load(result.value)
         except (KeyError, TypeError, ValueError) as error:
-            return Unknown(Reason.TARGET_FAILED, f"unreadable load report: {error!r}")
+            return Unknown(Reason.TARGET_FAILED, f"malformed load report: {error!r}")
         if load.cache_changes:
             self._last_cache_sequence = load.cache_changes[-1].sequence
         return Done(load)
 
     async def order(self, order: EngineOrder) -> Result[None]:
-        """Carry out an order; refused with ``STALE_FENCE`` by those that check."""
+        """Execute an order.
+
+        An engine that checks fencing numbers refuses an outdated one with
+        ``STALE_FENCE``.
+        """
         fields = {
             "kind": order.kind,
             "name": order.name,
@@ -157,13 +167,13 @@
         return Done(None) if isinstance(result, Done) else result
 
     async def state(self) -> Result[tuple[str, ...]]:
-        """Read back what is loaded, and the role as ``role:NAME``."""
+        """Return what is loaded, and the role as ``role:NAME``."""
         result = await self._call("GET", STATE_PATH, None, _CALL_TIMEOUT_S)
         if not isinstance(result, Done):
             return result
         models = result.value.get("models")
         if not isinstance(models, list):
-            return Unknown(Reason.TARGET_FAILED, "the state names no models")
+            return Unknown(Reason.TARGET_FAILED, "the state report lists no models")
         return Done(tuple(str(model) for model in models))
 
     async def _stream(
@@ -178,19 +188,19 @@
         if isinstance(body, Refused):
             yield EngineFailed(body.reason, body.detail, resumed, Usage(), not resumed)
             return
-        settled = False
+        finished = False
         try:
             async with aclosing(self._events(request, path, body)) as events:
                 async for event in events:
-                    settled = not isinstance(event, EngineText)
+                    finished = not isinstance(event, EngineText)
                     if resumed and isinstance(event, EngineFailed):
-                        # A refused resumption does not undo what was begun.
+                        # A refused resumption does not undo the started answer.
                         event = evolve(event, started=True, usage_final=False)
                     yield event
         finally:
-            # Whoever stops reading early no longer wants the answer. An engine
-            # that ran on would consume tokens that nobody gets.
-            if not settled:
+            # A consumer that stops reading early no longer needs the answer. An engine
+            # that continued would consume tokens that nobody receives.
+            if not finished:
                 with anyio.move_on_after(_CANCEL_TIMEOUT_S, shield=True):
                     await self.cancel(request.attempt_id)
 
@@ -208,28 +218,30 @@
                 extensions=_timeouts(request.deadline_s),
             ) as response:
                 if response.status != 200:
-                    yield await _refusal(response)
+                    yield await _status_failure(response)
                     return
                 async for data in _server_sent_data(response):
-                    for event in _take(data, progress, body):
+                    for event in _parse_data(data, progress, body):
                         yield event
                         if not isinstance(event, EngineText):
                             return
                     if anyio.current_time() > deadline_s:
-                        yield _broken(progress, Reason.DEADLINE, "deadline passed")
+                        yield _incomplete(progress, Reason.DEADLINE, "deadline passed")
                         return
         except (httpcore.NetworkError, httpcore.ProtocolError) as error:
-            yield _failed(progress, error)
+            yield _transport_failure(progress, error)
             return
         except httpcore.TimeoutException as error:
-            yield _failed(progress, error)
+            yield _transport_failure(progress, error)
             return
-        yield _broken(progress, Reason.TARGET_FAILED, "the answer broke off")
+        yield _incomplete(
+            progress, Reason.TARGET_FAILED, "the answer ended without its end marker"
+        )
 
     async def _call(
         self, method: str, path: str, fields: dict[str, Any] | None, timeout_s: float
     ) -> Result[dict[str, Any]]:
-        """Make one small JSON call."""
+        """Make one JSON call."""
         content = None if fields is None else json.dumps(fields).encode()
         try:
             response = await self._pool.request(
@@ -244,9 +256,9 @@
             httpcore.ProtocolError,
             httpcore.TimeoutException,
         ) as error:
-            if nothing_was_sent(error):
-                return Refused(reason_of(error), repr(error))
-            return Unknown(reason_of(error), repr(error))
+            if request_was_not_sent(error):
+                return Refused(error_reason(error), repr(error))
+            return Unknown(error_reason(error), repr(error))
         return _json_result(response.status, response.content)
 
 
@@ -279,48 +291,54 @@
                 yield line[len(_DATA_PREFIX) :].strip()
 
 
-def _take(data: bytes, progress: _Progress, body: EngineBody) -> list[EngineEvent]:
-    """Return the events that one piece of data gives rise to."""
+def _parse_data(
+    data: bytes, progress: _Progress, body: EngineBody
+) -> list[EngineEvent]:
+    """Return the events that result from the data of one server-sent event."""
     if data == _DONE_MARK:
-        return [_ended(progress)]
+        return [_completed(progress)]
     chunk = parse_chunk(data)
     if chunk is None:
-        return [_broken(progress, Reason.TARGET_FAILED, "unreadable chunk")]
+        return [_incomplete(progress, Reason.TARGET_FAILED, "malformed chunk")]
     if chunk.error:
-        return [_broken(progress, Reason.TARGET_FAILED, chunk.error)]
+        return [_incomplete(progress, Reason.TARGET_FAILED, chunk.error)]
     progress.tokens += chunk.tokens
     progress.usage = chunk.usage or progress.usage
     progress.finish_reason = chunk.finish_reason or progress.finish_reason
-    if chunk.only_usage and not body.caller_wants_usage:
+    if chunk.usage_only and not body.caller_wants_usage:
         return []
     return [EngineText(data, chunk.tokens)]
 
 
-def _ended(progress: _Progress) -> EngineEvent:
-    # An end without a finish reason or a usage is a cut answer that only looks
-    # whole: the caller would take half a note for the note, and the bill would
-    # be a guess.
+def _completed(progress: _Progress) -> EngineEvent:
+    # An end without a finish reason or usage means that the answer is truncated: the
+    # caller would take a partial answer for a complete one, and the consumption to bill
+    # would be unknown.
     if progress.usage is None or not progress.finish_reason:
-        return _broken(progress, Reason.TARGET_FAILED, "the end names no usage")
+        return _incomplete(
+            progress,
+            Reason.TARGET_FAILED,
+            "the end of the answer lacks usage or finish reason",
+        )
     return EngineEnded(progress.usage, progress.finish_reason)
 
 
-def _broken(progress: _Progress, reason: Reason, detail: str) -> EngineFailed:
-    return EngineFailed(reason, detail, True, progress.lower_bound(), False)
+def _incomplete(progress: _Progress, reason: Reason, detail: str) -> EngineFailed:
+    return EngineFailed(reason, detail, True, progress.min_usage(), False)
 
 
-def _failed(progress: _Progress, error: Exception) -> EngineFailed:
-    unsent = nothing_was_sent(error)
-    usage = Usage() if unsent else progress.lower_bound()
-    return EngineFailed(reason_of(error), repr(error), not unsent, usage, unsent)
+def _transport_failure(progress: _Progress, error: Exception) -> EngineFailed:
+    not_sent = request_was_not_sent(error)
+    usage = Usage() if not_sent else progress.min_usage()
+    return EngineFailed(error_reason(error), repr(error), not not_sent, usage, not_sent)
 
 
-async def _refusal(response: httpcore.Response) -> EngineFailed:
+async def _status_failure(response: httpcore.Response) -> EngineFailed:
     """Return the failure for an answer whose status is not 200."""
     detail = (await response.aread())[:500].decode(errors="replace")
-    reason = _NOT_BEGUN.get(response.status)
+    reason = _NOT_STARTED_REASONS.get(response.status)
     if reason is None:
-        # A 500 may come after the engine began, so that it proves nothing.
+        # A 500 may occur after the engine started, so it proves nothing.
         return EngineFailed(Reason.TARGET_FAILED, detail, True, Usage(), False)
     return EngineFailed(reason, detail, False, Usage(), True)
 
@@ -340,9 +358,9 @@
     try:
         value = json.loads(content)
     except ValueError:
-        return Unknown(Reason.TARGET_FAILED, "the answer is no JSON")
+        return Unknown(Reason.TARGET_FAILED, "the answer is not valid JSON")
     if not isinstance(value, dict):
-        return Unknown(Reason.TARGET_FAILED, "the answer is no JSON object")
+        return Unknown(Reason.TARGET_FAILED, "the answer is not a JSON object")
     return Done(value)
 
 
--- a/src/endivegw/targets/order_rows.py
+++ b/src/endivegw/targets/order_rows.py
@@ -1,17 +1,17 @@
-"""Rows of the table that hold a target's desk and its orders."""
+"""Table rows of a target's order queue and of its orders."""
 
 from __future__ import annotations
 
 import json
 
 from endivegw.services import Put, Row, RowKey, RowValue, Transaction
-from endivegw.targets.orders import Claim, DesiredState, Desk, Order, OrderState
+from endivegw.targets.orders import Claim, DesiredState, Order, OrderQueue, OrderState
 from endivegw.types import InstanceId, TargetName
 
 __all__ = [
     "claim_transaction",
-    "desk_from_row",
-    "desk_key",
+    "order_queue_from_row",
+    "order_queue_key",
     "issue_transaction",
     "order_from_row",
     "order_key",
@@ -19,20 +19,20 @@
 ]
 
 
-def desk_key(target: TargetName) -> RowKey:
-    """Return where a target's desk is kept."""
+def order_queue_key(target: TargetName) -> RowKey:
+    """Return the key of the row with a target's order queue."""
     return RowKey(f"orders/{target}", "desk")
 
 
 def order_key(target: TargetName, sequence: int) -> RowKey:
-    """Return where one order is kept."""
+    """Return the key of the row with one order."""
     return RowKey(f"orders/{target}", f"order/{sequence:010d}")
 
 
-def desk_from_row(row: Row | None) -> Desk:
-    """Return the desk, an empty one where no order was ever given."""
+def order_queue_from_row(row: Row | None) -> OrderQueue:
+    """Decode an order queue; it is empty if no order was ever issued."""
     if row is None:
-        return Desk()
+        return OrderQueue()
     fields = row.fields
     claim = None
     if fields["holder"]:
@@ -42,18 +42,18 @@
             int(fields["claimed_sequence"]),
             int(fields["window_ms"]) / 1000,
         )
-    return Desk(
+    return OrderQueue(
         row.version,
         int(fields["last_sequence"]),
         int(fields["done_sequence"]),
         int(fields["last_fence"]),
         claim,
-        _desired_from(str(fields["desired"])),
+        _decode_desired(str(fields["desired"])),
     )
 
 
 def order_from_row(row: Row) -> Order:
-    """Return one order."""
+    """Decode one order."""
     fields = row.fields
     return Order(
         int(row.key.sort.removeprefix("order/")),
@@ -67,52 +67,56 @@
     )
 
 
-def issue_transaction(target: TargetName, desk: Desk, order: Order) -> Transaction:
-    """Return the write that adds an order behind the others.
+def issue_transaction(
+    target: TargetName, queue: OrderQueue, order: Order
+) -> Transaction:
+    """Return the transaction that appends an order.
 
-    :param order: its sequence is the desk's last one and one more.
+    :param order: its sequence number follows the last one of the queue.
     """
-    fields = _desk_fields(desk)
+    fields = _queue_fields(queue)
     fields["last_sequence"] = order.sequence
     return Transaction(
         (
-            Put(desk_key(target), fields, desk.row_version),
+            Put(order_queue_key(target), fields, queue.row_version),
             Put(order_key(target, order.sequence), _order_fields(order), 0),
         )
     )
 
 
-def claim_transaction(target: TargetName, before: Desk, after: Desk) -> Transaction:
-    """Return the write that takes a claim; it fails where the desk has moved."""
+def claim_transaction(
+    target: TargetName, before: OrderQueue, after: OrderQueue
+) -> Transaction:
+    """Return the transaction of a claim; it fails if the queue has changed."""
     return Transaction(
-        (Put(desk_key(target), _desk_fields(after), before.row_version),)
+        (Put(order_queue_key(target), _queue_fields(after), before.row_version),)
     )
 
 
 def settle_transaction(
-    target: TargetName, before: Desk, after: Desk, order: Order | None
+    target: TargetName, before: OrderQueue, after: OrderQueue, order: Order | None
 ) -> Transaction:
-    """Return the write that ends a claim, with the order it was for.
+    """Return the transaction that ends a claim and updates its order.
 
     :param order: None after a repair.
     """
-    desk = Put(desk_key(target), _desk_fields(after), before.row_version)
+    queue = Put(order_queue_key(target), _queue_fields(after), before.row_version)
     if order is None:
-        return Transaction((desk,))
+        return Transaction((queue,))
     key = order_key(target, order.sequence)
-    return Transaction((desk, Put(key, _order_fields(order), None)))
+    return Transaction((queue, Put(key, _order_fields(order), None)))
 
 
-def _desk_fields(desk: Desk) -> dict[str, RowValue]:
-    claim = desk.claim
+def _queue_fields(queue: OrderQueue) -> dict[str, RowValue]:
+    claim = queue.claim
     return {
-        "last_sequence": desk.last_sequence,
-        "done_sequence": desk.done_sequence,
-        "last_fence": desk.last_fence,
+        "last_sequence": queue.last_sequence,
+        "done_sequence": queue.done_sequence,
+        "last_fence": queue.last_fence,
         "holder": claim.holder if claim else "",
         "claimed_sequence": claim.sequence if claim else 0,
         "window_ms": round(claim.window_s * 1000) if claim else 0,
-        "desired": _desired_text(desk.desired),
+        "desired": _encode_desired(queue.desired),
     }
 
 
@@ -128,7 +132,7 @@
     }
 
 
-def _desired_text(desired: DesiredState) -> str:
+def _encode_desired(desired: DesiredState) -> str:
     value = {
         "loaded": sorted(desired.loaded),
         "unloaded": list(desired.unloaded),
@@ -137,7 +141,7 @@
     return json.dumps(value, separators=(",", ":"))
 
 
-def _desired_from(text: str) -> DesiredState:
+def _decode_desired(text: str) -> DesiredState:
     value = json.loads(text)
     return DesiredState(
         frozenset(value["loaded"]), tuple(value["unloaded"]), value["role"]
--- a/src/endivegw/targets/orders.py
+++ b/src/endivegw/targets/orders.py
@@ -1,8 +1,8 @@
-"""Orders to engines: what is wanted, who may send, and when it holds.
+"""Orders to engines: desired state, right to send, and confirmation.
 
-Pure: the present time is an argument. Orders of one target form a sequence in
-the table and are carried out one at a time. Whoever wants to send must first
-claim the target's desk, which gives each claim a fencing number of its own.
+This module does no I/O; the current time is an argument. The orders of one target form
+a sequence in the table and are executed one at a time. A sidecar must claim the
+target's order queue before it sends, and each claim gets its own fencing number.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 __all__ = [
     "Claim",
-    "ClaimWatch",
-    "Desk",
+    "ClaimTracker",
+    "OrderQueue",
     "DesiredState",
     "FenceLedger",
     "Order",
     "OrderState",
     "Permit",
     "REPAIR_SEQUENCE",
-    "deviations",
-    "holds",
-    "item_of",
+    "repair_orders",
+    "took_effect",
+    "state_entry",
 ]
 
-#: The sequence number of claims that repair and carry out no new order.
+#: Sequence number of claims that repair the engine's state and execute no new order.
 REPAIR_SEQUENCE = 0
 
-#: How many unloaded items are remembered. A late order of a paused sidecar can
-#: bring back only what was unloaded while it was paused.
-_UNLOADED_KEPT = 32
+#: Maximum number of unloaded entries that are remembered. A late order of a paused
+#: sidecar can only bring back an entry that was unloaded during the pause.
+_MAX_UNLOADED_ENTRIES = 32
 
-#: How much slower the clock of a paused holder may run than ours.
-_DRIFT = 0.01
+#: Maximum share by which a claim holder's clock may run slower than the local clock.
+_MAX_CLOCK_DRIFT = 0.01
 
 _ROLE_PREFIX = "role:"
 _LOADS = (OrderKind.LOAD_MODEL, OrderKind.LOAD_ADAPTER)
@@ -46,7 +46,7 @@
 
 
 class OrderState(enum.Enum):
-    """How far an order has come."""
+    """State of an order."""
 
     PENDING = "pending"
     DONE = "done"
@@ -55,12 +55,12 @@
 
 @frozen
 class Order:
-    """Hold one order as operators gave it.
+    """Hold one order as issued by an operator.
 
-    :param sequence: its place among the target's orders, from 1.
-    :param operation: the operator's id of the command, so that a repeated
-        command orders once.
-    :param attempts: how often it was sent.
+    :param sequence: position among the target's orders, from 1.
+    :param operation: the operator's id of the command, so that a repeated command
+        issues only one order.
+    :param attempts: number of times that the order was sent.
     """
 
     sequence: int
@@ -74,20 +74,20 @@
 
     @property
     def loads(self) -> bool:
-        """Return whether it draws on the weight store."""
+        """Return whether the order reads from the weight store."""
         return self.kind in _LOADS
 
     def to_engine(self, fence: int) -> EngineOrder:
-        """Return the order as it is sent under a fencing number."""
+        """Return the order as it is sent to the engine with a fencing number."""
         return EngineOrder(self.kind, self.name, self.version, fence)
 
 
 @frozen
 class DesiredState:
-    """Hold what the orders that were carried out add up to.
+    """Hold the engine state that results from all executed orders.
 
-    :param unloaded: items that must not be there, the newest last.
-    :param role: "" where no order ever set it.
+    :param unloaded: entries that must not be loaded, the newest last.
+    :param role: empty if no order has set a role.
     """
 
     loaded: frozenset[str] = frozenset()
@@ -95,22 +95,22 @@
     role: str = ""
 
     def after(self, order: Order) -> DesiredState:
-        """Return the state with one more order carried out."""
-        item = item_of(order)
+        """Return the state after one more executed order."""
+        item = state_entry(order)
         if order.kind == OrderKind.CHANGE_ROLE:
             return evolve(self, role=order.name)
-        others = tuple(one for one in self.unloaded if one != item)
+        others = tuple(other for other in self.unloaded if other != item)
         if order.kind in _LOADS:
             return evolve(self, loaded=self.loaded | {item}, unloaded=others)
-        kept = (*others, item)[-_UNLOADED_KEPT:]
-        return evolve(self, loaded=self.loaded - {item}, unloaded=kept)
+        latest = (*others, item)[-_MAX_UNLOADED_ENTRIES:]
+        return evolve(self, loaded=self.loaded - {item}, unloaded=latest)
 
 
 @frozen
 class Claim:
-    """Hold the right to send one order, as the table has it.
+    """Hold the right to send one order, as stored in the table.
 
-    :param window_s: for how long from the claim the holder may begin to send.
+    :param window_s: seconds from the claim during which the holder may start to send.
     """
 
     holder: InstanceId
@@ -120,14 +120,15 @@
 
 
 @frozen
-class Desk:
-    """Hold the row that all orders of one target go through.
-
-    :param row_version: of the row that was read, 0 where there is none.
-    :param last_sequence: of the newest order.
-    :param done_sequence: up to which orders are carried out or have failed.
-    :param last_fence: the highest number that was ever given out.
-    :param claim: None where nobody may send.
+class OrderQueue:
+    """Hold the row that serializes all orders of one target.
+
+    :param row_version: version of the row that was read, 0 if there is none.
+    :param last_sequence: sequence number of the newest order.
+    :param done_sequence: all orders up to this one were executed or have failed.
+    :param last_fence: highest fencing number that was ever assigned.
+    :param claim: None if no sidecar may send.
+    :param desired: engine state that results from the executed orders.
     """
 
     row_version: int = 0
@@ -137,17 +138,18 @@
     claim: Claim | None = None
     desired: DesiredState = field(factory=DesiredState)
 
-    def claimed(self, holder: InstanceId, sequence: int, window_s: float) -> Desk:
-        """Return the desk with a fresh number in the hands of ``holder``."""
+    def claimed(self, holder: InstanceId, sequence: int, window_s: float) -> OrderQueue:
+        """Return the queue with a claim of ``holder`` under a new fencing number."""
         fence = self.last_fence + 1
         claim = Claim(holder, fence, sequence, window_s)
         return evolve(self, last_fence=fence, claim=claim)
 
-    def settled(self, order: Order) -> Desk:
-        """Return the desk after an order has ended, with nobody's claim."""
+    def settled(self, order: Order) -> OrderQueue:
+        """Return the queue after an order has ended, without a claim."""
         if order.sequence != self.done_sequence + 1:
             raise InvariantError(
-                f"order {order.sequence} would end behind {self.done_sequence}"
+                f"order {order.sequence} ended out of sequence after "
+                f"{self.done_sequence}"
             )
         desired = self.desired
         if order.state is OrderState.DONE:
@@ -157,10 +159,10 @@
 
 @frozen
 class Permit:
-    """Hold the right to send, as its holder measures it.
+    """Hold the right to send, as measured by its holder.
 
-    :param since_s: when the write that made the claim **began**. The claim
-        cannot be older than that, so that the window ends early, never late.
+    :param since_s: time at which the write of the claim **started**. The claim cannot
+        be older, so the window expires early rather than late.
     """
 
     fence: int
@@ -169,92 +171,96 @@
     window_s: float
 
     def allows(self, now_s: float) -> bool:
-        """Return whether a send may still begin."""
+        """Return whether a send may still be started."""
         return now_s < self.since_s + self.window_s
 
 
 @define
-class ClaimWatch:
-    """Wait another's claim out, on one's own clock.
-
-    A paused sidecar wakes and sends the order that it had claimed long ago. An
-    engine that ignores fencing numbers takes it, and a model that was unloaded
-    since is back. The holder begins no send after its window, so that whoever
-    has seen the same claim for longer than the window may go on. No clocks are
-    compared: each side measures a span of its own.
+class ClaimTracker:
+    """Wait until another sidecar's claim expires, measured on the local clock.
+
+    A paused sidecar may resume and send an order that it claimed long ago. An engine
+    that ignores fencing numbers accepts it, and a model that was unloaded meanwhile is
+    loaded again. The holder starts no send after its window, so a sidecar that has
+    seen the same claim for longer than the window may proceed. The clocks are not
+    compared; each side measures a duration of its own.
     """
 
     _fence: int = -1
     _seen_s: float = 0.0
 
-    def wait_s(self, desk: Desk, me: InstanceId, now_s: float) -> float:
-        """Return for how long the claim must still be left alone."""
-        claim = desk.claim
+    def wait_s(self, queue: OrderQueue, me: InstanceId, now_s: float) -> float:
+        """Return the seconds until the claim may be replaced."""
+        claim = queue.claim
         if claim is None or claim.holder == me:
             return 0.0
         if claim.fence != self._fence:
             self._fence = claim.fence
             self._seen_s = now_s
-        over_s = self._seen_s + claim.window_s * (1 + _DRIFT)
-        return max(0.0, over_s - now_s)
+        expires_s = self._seen_s + claim.window_s * (1 + _MAX_CLOCK_DRIFT)
+        return max(0.0, expires_s - now_s)
 
 
 @define
 class FenceLedger:
-    """Assert that a fencing number never stands for two orders."""
+    """Enforce that no fencing number is used for two orders."""
 
     _orders: dict[int, EngineOrder] = field(factory=dict)
     _highest: int = 0
 
     def bind(self, order: EngineOrder) -> None:
-        """Note an order that is about to be sent.
+        """Record an order that is about to be sent.
 
-        :raises InvariantError: where its number was used for another order, or
-            is below one that was sent.
+        :raises InvariantError: if its fencing number was used for another order, or is
+            lower than one that was sent.
         """
         known = self._orders.get(order.fence)
         if known is not None and known != order:
-            raise InvariantError(f"fence {order.fence} stands for two orders")
+            raise InvariantError(f"fence {order.fence} was used for another order")
         if order.fence < self._highest:
-            raise InvariantError(f"fence {order.fence} is below {self._highest}")
-        # Lower numbers are refused by the check above and need no entry.
+            raise InvariantError(f"fence {order.fence} is lower than {self._highest}")
+        # Lower numbers are rejected by the check above and need no entry.
         self._orders = {order.fence: order}
         self._highest = order.fence
 
 
-def item_of(order: Order) -> str:
-    """Return the entry of an engine's state that an order is about."""
+def state_entry(order: Order) -> str:
+    """Return the entry of an engine's state that an order changes."""
     if order.kind == OrderKind.CHANGE_ROLE:
         return f"{_ROLE_PREFIX}{order.name}"
     return f"{order.name}@{order.version}" if order.version else order.name
 
 
-def holds(order: Order, state: tuple[str, ...]) -> bool:
-    """Return whether an engine's state shows that an order took effect."""
-    present = item_of(order) in state
+def took_effect(order: Order, state: tuple[str, ...]) -> bool:
+    """Return whether an order has taken effect in an engine's state."""
+    present = state_entry(order) in state
     return not present if order.kind in _UNLOADS else present
 
 
-def deviations(desired: DesiredState, state: tuple[str, ...]) -> tuple[Order, ...]:
-    """Return the orders that would bring an engine back to what is wanted.
+def repair_orders(desired: DesiredState, state: tuple[str, ...]) -> tuple[Order, ...]:
+    """Return the orders that bring an engine back to the desired state.
 
-    Unloads go first: on an engine whose memory is full a load would fail.
+    Unloads come first, because a load fails on an engine without free memory.
     """
-    unloads = [_repair(_UNLOADS, item) for item in desired.unloaded if item in state]
+    unloads = [
+        _repair_order(_UNLOADS, item) for item in desired.unloaded if item in state
+    ]
     loads = [
-        _repair(_LOADS, item) for item in sorted(desired.loaded) if item not in state
+        _repair_order(_LOADS, item)
+        for item in sorted(desired.loaded)
+        if item not in state
     ]
     roles: list[Order] = []
     if desired.role and f"{_ROLE_PREFIX}{desired.role}" not in state:
-        roles = [_order(OrderKind.CHANGE_ROLE, desired.role, "")]
+        roles = [_new_order(OrderKind.CHANGE_ROLE, desired.role, "")]
     return (*unloads, *loads, *roles)
 
 
-def _repair(kinds: tuple[str, str], item: str) -> Order:
+def _repair_order(kinds: tuple[str, str], item: str) -> Order:
     name, _, version = item.partition("@")
     model_kind, adapter_kind = kinds
-    return _order(adapter_kind if "+" in name else model_kind, name, version)
+    return _new_order(adapter_kind if "+" in name else model_kind, name, version)
 
 
-def _order(kind: str, name: str, version: str) -> Order:
+def _new_order(kind: str, name: str, version: str) -> Order:
     return Order(REPAIR_SEQUENCE, kind, name, version, "repair")
--- a/src/endivegw/targets/ports.py
+++ b/src/endivegw/targets/ports.py
@@ -1,4 +1,4 @@
-"""Targets as a sidecar sees them: model engines and plain services."""
+"""Interfaces between a sidecar and its target: a model engine or a plain service."""
 
 from __future__ import annotations
 
@@ -28,11 +28,13 @@
 
 @frozen
 class EngineRequest:
-    """Hold one generation as it is handed to an engine.
+    """Hold one generation request to an engine.
 
-    :param body: the caller's JSON of the completions protocol.
-    :param max_completion_tokens: where the engine must stop, at the latest.
-    :param deadline_s: seconds from now by which the answer must be whole.
+    :param body: the caller's JSON body of the completions protocol.
+    :param chat: whether the body is for the chat endpoint.
+    :param adapter: adapter of the model; empty for the model itself.
+    :param max_completion_tokens: limit at which the engine must stop generating.
+    :param deadline_s: seconds from now within which the answer must be complete.
     """
 
     attempt_id: AttemptId
@@ -47,11 +49,11 @@
 
 @frozen
 class EngineText:
-    """Hold a piece of the answer.
+    """Hold one chunk of the answer.
 
-    :param data: one chunk as JSON of the completions protocol, without the
-        framing of server-sent events.
-    :param tokens: how many tokens this piece holds.
+    :param data: the chunk as JSON of the completions protocol, without the framing of
+        server-sent events.
+    :param tokens: number of tokens in this chunk.
     """
 
     data: bytes
@@ -60,7 +62,7 @@
 
 @frozen
 class EngineEnded:
-    """Say that the answer is whole, and what it consumed."""
+    """Report that the answer is complete, and what it consumed."""
 
     usage: Usage
     finish_reason: str
@@ -68,12 +70,12 @@
 
 @frozen
 class EngineFailed:
-    """Say that the answer will not become whole.
+    """Report that the answer will not be completed.
 
-    :param started: False where the engine said for certain that it did not
-        begin.
-    :param usage: what was consumed as far as it is known.
-    :param usage_final: False where the engine may still be consuming.
+    :param started: False only if it is certain that the target did not start the
+        request.
+    :param usage: the known part of the consumption.
+    :param usage_final: False if the engine may still be consuming tokens.
     """
 
     reason: Reason
@@ -88,9 +90,10 @@
 
 @frozen
 class CacheChange:
-    """Say that a prompt prefix entered or left an engine's cache.
+    """Report that a prompt prefix entered or left an engine's cache.
 
-    :param sequence: grows by one; a gap means that events were lost.
+    :param sequence: increases by one; a gap means that events were lost.
+    :param evicted: whether the prefix left the cache.
     """
 
     sequence: int
@@ -100,11 +103,14 @@
 
 @frozen
 class EngineLoad:
-    """Hold an engine's own figures, which are a little old.
+    """Hold an engine's load report, which lags behind its current state.
 
+    :param running: number of requests in progress.
+    :param waiting: number of queued requests.
+    :param slots: maximum number of requests in progress.
     :param models: what can be served now: ``model``, ``model@version`` and
         ``model+adapter``.
-    :param age_s: how old the figures were when they were read.
+    :param age_s: age of the report in seconds when it was read.
     """
 
     running: int
@@ -117,7 +123,7 @@
 
 
 class OrderKind:
-    """The orders that an engine takes."""
+    """Kinds of orders to an engine."""
 
     LOAD_MODEL = "load-model"
     UNLOAD_MODEL = "unload-model"
@@ -130,7 +136,7 @@
 class EngineOrder:
     """Hold one order to an engine.
 
-    :param fence: a number from the table that grows with each order.
+    :param fence: fencing number from the table, which increases with each order.
     """
 
     kind: str
@@ -140,30 +146,34 @@
 
 
 class EnginePort(Protocol):
-    """A model engine."""
+    """Interface of a model engine."""
 
     def generate(self, request: EngineRequest) -> AsyncIterator[EngineEvent]:
-        """Yield text, then one end or failure; closing it cancels."""
+        """Yield text, then one end or failure; closing the iterator cancels."""
 
     def resume(self, request: EngineRequest, pieces: int) -> AsyncIterator[EngineEvent]:
-        """Yield what follows the first ``pieces`` texts of a running answer."""
+        """Yield the events after the first ``pieces`` chunks of a running answer."""
 
     async def cancel(self, attempt_id: AttemptId) -> Result[Usage]:
-        """Stop an answer; done with what it consumed."""
+        """Cancel an answer and return what it consumed."""
 
     async def load(self) -> Result[EngineLoad]:
-        """Return the engine's own figures."""
+        """Return the engine's load report."""
 
     async def order(self, order: EngineOrder) -> Result[None]:
-        """Carry out an order; refused with ``STALE_FENCE`` by those that check."""
+        """Execute an order.
+
+        An engine that checks fencing numbers refuses an outdated one with
+        ``STALE_FENCE``.
+        """
 
     async def state(self) -> Result[tuple[str, ...]]:
-        """Read back what is loaded, in the form of :attr:`EngineLoad.models`."""
+        """Return what is loaded, in the form of :attr:`EngineLoad.models`."""
 
 
 @frozen
 class ServiceRequest:
-    """Hold one call of a plain service; the body comes as chunks."""
+    """Hold one call to a plain service; its body is passed separately in chunks."""
 
     attempt_id: AttemptId
     method: str
@@ -180,9 +190,9 @@
 
 
 class ServicePort(Protocol):
-    """A plain service."""
+    """Interface of a plain service."""
 
     def call(
         self, request: ServiceRequest, body: AsyncIterator[bytes]
     ) -> AsyncIterator[ServiceAnswerHead | bytes | EngineFailed]:
-        """Yield the head, then the body, or one failure in place of the rest."""
+        """Yield the head and the body; a failure replaces what is missing."""
--- a/src/endivegw/targets/rolling.py
+++ b/src/endivegw/targets/rolling.py
@@ -1,9 +1,8 @@
-"""Roll a new version over the targets of a model, within spare capacity.
+"""Roll out a new version over the targets of a model within spare capacity.
 
-Pure: it is asked again and again with fresh figures, and names the next steps
-only. Each decision here is for a change of version in working hours: the
-harm it prevents is refusing callers, or answering them late, because engines
-were taken out that were needed.
+This module does no I/O. It is called repeatedly with current figures and returns only
+the next steps. Versions are changed during working hours, so the roll must not take
+out engines that are needed: callers would be refused or answered late.
 """
 
 from __future__ import annotations
@@ -20,7 +19,7 @@
 
 
 class RollAction(enum.Enum):
-    """What to do next with one target."""
+    """Next action for one target."""
 
     DRAIN = "drain"
     EXCHANGE = "exchange"
@@ -29,13 +28,13 @@
 
 @frozen
 class RollTarget:
-    """Hold what is known of one target in the roll.
+    """Hold the state of one target in the roll.
 
-    :param slots: how much it can run at once.
-    :param in_use: slots taken, and work that waits.
-    :param serving: whether it takes new work now.
-    :param reachable: False where its sidecar is silent.
-    :param has_new: whether its engine has the new version loaded.
+    :param slots: number of requests that the target can run concurrently.
+    :param in_use: occupied slots plus queued requests.
+    :param serving: whether the target accepts new requests.
+    :param reachable: False if its sidecar is unresponsive.
+    :param has_new_version: whether its engine has loaded the new version.
     """
 
     target: TargetName
@@ -44,26 +43,28 @@
     in_use: int
     serving: bool
     reachable: bool
-    has_new: bool
+    has_new_version: bool
 
 
 @frozen
 class RollPolicy:
     """Hold the limits of a roll.
 
-    :param headroom: spare capacity that stays beside what is in use. Demand
-        rises while an engine is out for minutes, and a full batch is slow.
-    :param at_once: how many may be out together, at most; the weight store
-        loads no more at a time, so that more would only wait outside.
+    :param headroom: spare capacity to retain, as a share of the slots in use. Demand
+        may rise while an engine is out of service for minutes, and full batches are
+        slow.
+    :param max_out_of_service: maximum number of targets that are out of service at a
+        time. The weight store serves no more loads concurrently, so further targets
+        would only wait out of service.
     """
 
     headroom: float = 0.2
-    at_once: int = 2
+    max_out_of_service: int = 2
 
 
 @frozen
 class RollStep:
-    """Name the next thing to do with one target."""
+    """Hold the next action for one target."""
 
     target: TargetName
     action: RollAction
@@ -72,67 +73,75 @@
 def next_steps(
     targets: Iterable[RollTarget], policy: RollPolicy
 ) -> tuple[RollStep, ...]:
-    """Return what to do now; empty while the roll waits or is over."""
-    known = sorted(targets, key=lambda one: one.target)
-    steps = [step for one in known if (step := _forward(one)) is not None]
-    out = sum(1 for one in known if _is_out(one))
-    needed = _needed_slots(known, policy)
-    serving = sum(one.slots for one in known if _gives_capacity(one))
-    for one in _drain_order(known):
-        if out >= policy.at_once:
+    """Return the next steps; empty while the roll waits or is complete."""
+    ordered = sorted(targets, key=lambda entry: entry.target)
+    steps = [step for entry in ordered if (step := _next_step(entry)) is not None]
+    out = sum(1 for entry in ordered if _is_out_of_service(entry))
+    needed = _needed_slots(ordered, policy)
+    serving = sum(entry.slots for entry in ordered if _counts_as_capacity(entry))
+    for entry in _drain_candidates(ordered):
+        if out >= policy.max_out_of_service:
             break
-        # A target that does not fit is passed over: a smaller one may fit.
-        if serving - one.slots < needed:
+        # A target whose capacity is needed is skipped: a smaller one may be spared.
+        if serving - entry.slots < needed:
             continue
-        serving -= one.slots
+        serving -= entry.slots
         out += 1
-        steps.append(RollStep(one.target, RollAction.DRAIN))
+        steps.append(RollStep(entry.target, RollAction.DRAIN))
     _check_capacity(serving, needed, steps)
     return tuple(steps)
 
 
-def _gives_capacity(one: RollTarget) -> bool:
-    # A silent target may be dead. Counted as capacity, it would let the roll
-    # take out the ones that carry the load.
-    return one.serving and one.reachable
+def _counts_as_capacity(entry: RollTarget) -> bool:
+    # An unresponsive target may be dead. Counted as capacity, it would let the roll
+    # take out the targets that carry the load.
+    return entry.serving and entry.reachable
 
 
-def _is_out(one: RollTarget) -> bool:
-    return not one.serving
+def _is_out_of_service(entry: RollTarget) -> bool:
+    return not entry.serving
 
 
-def _forward(one: RollTarget) -> RollStep | None:
-    """Return the next step of a target that is already out of service."""
-    if one.serving or not one.reachable:
+def _next_step(entry: RollTarget) -> RollStep | None:
+    """Return the next step of a target that is already out of service, if any."""
+    if entry.serving or not entry.reachable:
         return None
-    if one.has_new:
-        return RollStep(one.target, RollAction.RESUME)
-    if one.in_use == 0:
-        return RollStep(one.target, RollAction.EXCHANGE)
-    # Its running answers end first: an exchange would cut them off.
+    if entry.has_new_version:
+        return RollStep(entry.target, RollAction.RESUME)
+    if entry.in_use == 0:
+        return RollStep(entry.target, RollAction.EXCHANGE)
+    # Answers in progress must end first: an exchange would truncate them.
     return None
 
 
-def _needed_slots(known: list[RollTarget], policy: RollPolicy) -> float:
-    return sum(one.in_use for one in known) * (1 + policy.headroom)
+def _needed_slots(ordered: list[RollTarget], policy: RollPolicy) -> float:
+    return sum(entry.in_use for entry in ordered) * (1 + policy.headroom)
 
 
-def _drain_order(known: list[RollTarget]) -> list[RollTarget]:
-    """Return who may go out next: from the zone with most capacity, least busy.
+def _drain_candidates(ordered: list[RollTarget]) -> list[RollTarget]:
+    """Return the targets in the order in which they may be drained.
 
-    Taking the next one from the richest zone keeps the zones even, so that a
-    zone's failure during the roll costs no more than at other times.
+    Targets in the availability zone with the most capacity come first, the least busy
+    ones among them before the others. This keeps the zones balanced, so that the
+    failure of a zone during the roll costs no more than at other times.
     """
     zone_slots: dict[AvailabilityZone, int] = {}
-    for one in known:
-        if _gives_capacity(one):
-            zone = one.availability_zone
-            zone_slots[zone] = zone_slots.get(zone, 0) + one.slots
-    old = [one for one in known if _gives_capacity(one) and not one.has_new]
-    return sorted(old, key=lambda one: (-zone_slots[one.availability_zone], one.in_use))
+    for entry in ordered:
+        if _counts_as_capacity(entry):
+            zone = entry.availability_zone
+            zone_slots[zone] = zone_slots.get(zone, 0) + entry.slots
+    candidates = [
+        entry
+        for entry in ordered
+        if _counts_as_capacity(entry) and not entry.has_new_version
+    ]
+    return sorted(
+        candidates,
+        key=lambda entry: (-zone_slots[entry.availability_zone], entry.in_use),
+    )
 
 
 def _check_capacity(serving: int, needed: float, steps: list[RollStep]) -> None:
     drains = any(step.action is RollAction.DRAIN for step in steps)
     if drains and serving < needed:
-        raise InvariantError(f"the roll would leave {serving} of {needed} slots")
+        raise InvariantError(f"the roll would leave {serving} slots of {needed} needed")
--- a/src/endivegw/targets/weight_desk.py
+++ b/src/endivegw/targets/weight_desk.py
@@ -1,4 +1,4 @@
-"""Take and give back slots of the weight store, through the table."""
+"""Acquire and release slots of the weight store through the table."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from endivegw.targets.weight_slots import (
     SLOT_PARTITION,
     SlotClaim,
-    SlotWatch,
+    SlotTracker,
     WeightShare,
+    acquire_slot,
     release_slot,
-    take_slot,
 )
 from endivegw.types import InstanceId, TargetName
 
-__all__ = ["WeightDesk"]
+__all__ = ["WeightService"]
 
 
-class WeightDesk:
-    """Hold at most one slot at a time for one target.
+class WeightService:
+    """Acquire at most one slot at a time for one target.
 
-    :param timeout_s: for each call of the table and of the weight store.
-    :param clock: monotonic seconds.
+    :param timeout_s: time-out in seconds of each call to the table or weight store.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(
@@ -44,24 +44,24 @@
         self._share = share
         self._timeout_s = timeout_s
         self._clock = clock
-        self._watch = SlotWatch()
+        self._tracker = SlotTracker()
 
-    async def take(self, name: str) -> SlotClaim | None:
-        """Take a slot for loading what is named, None where none can be had."""
+    async def acquire(self, name: str) -> SlotClaim | None:
+        """Acquire a slot for loading a model or adapter, None if none is available."""
         size = await self._weights.size_bytes(name, timeout_s=self._timeout_s)
-        # Without an answer the slot is held for the least time; an engine that
-        # loads for longer then shares the rate with one more.
+        # Without an answer the slot is held for the minimum time. An engine that loads
+        # for longer then shares the bandwidth with one more load.
         size_bytes = size.value if isinstance(size, Done) else 0
         page = await self._table.scan(SLOT_PARTITION, timeout_s=self._timeout_s)
         if not isinstance(page, Done):
             return None
-        claim = take_slot(
+        claim = acquire_slot(
             page.value.rows,
             self._share,
             self._target,
             self._instance_id,
             size_bytes,
-            self._watch,
+            self._tracker,
             self._clock(),
         )
         if claim is None:
@@ -70,14 +70,14 @@
             claim.transaction, timeout_s=self._timeout_s
         )
         if isinstance(result, Unknown):
-            return claim if await self._holds(claim.key) else None
+            return claim if await self._owns_slot(claim.key) else None
         return claim if isinstance(result, Done) else None
 
     async def release(self, claim: SlotClaim) -> None:
-        """Give a slot back; where that fails it is free after its time."""
+        """Release a slot; if that fails, the slot becomes free after its hold time."""
         await self._table.transact(release_slot(claim), timeout_s=self._timeout_s)
 
-    async def _holds(self, key: RowKey) -> bool:
+    async def _owns_slot(self, key: RowKey) -> bool:
         result = await self._table.read((key,), timeout_s=self._timeout_s)
         if not isinstance(result, Done) or result.value[0] is None:
             return False
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -28,7 +28,7 @@
     decode_target,
 )
 from endivegw.platform.wire import PlatformWire
-from endivegw.relay.wire import CallerMarks, SendMarks
+from endivegw.relay.wire import CallerMetadata, SendMetadata
 from endivegw.results import Refused
 from endivegw.routing import RouteKind, ServiceKind
 from endivegw.types import ClientAccountName, InstanceId, TargetName, TransferId
@@ -105,7 +105,7 @@
 
     def test_what_the_router_sets_never_comes_from_a_caller(self) -> None:
         """A caller poses as another account, holds memory and jumps the queue."""
-        sent = PlatformWire().write_send(
+        sent = PlatformWire().write_target_fields(
             [
                 (b"authorization", b"Bearer k"),
                 (b"endivegw-tenant", b"other"),
@@ -120,7 +120,7 @@
                 (b"endivegw-attempt-id", b"abc"),
                 (b"x-own", b"1"),
             ],
-            SendMarks(InstanceId("i"), ClientAccountName("t"), 1.5),
+            SendMetadata(InstanceId("i"), ClientAccountName("t"), 1.5),
         )
         self.assertEqual(
             sorted(sent),
@@ -136,7 +136,7 @@
     def test_callers_fields(self) -> None:
         """Counts, parts and deadline are read; malformed ones are refused."""
         wire = PlatformWire()
-        marks = wire.read_caller(
+        metadata = wire.read_caller_fields(
             [
                 (b"endivegw-token-counts", b"1460,80"),
                 (b"endivegw-prompt-prefix", b"5c:800,91:660"),
@@ -144,17 +144,19 @@
                 (b"authorization", b"Bearer k"),
             ]
         )
-        assert isinstance(marks, CallerMarks)
-        self.assertEqual((marks.prompt_tokens, marks.most_output_tokens), (1460, 80))
-        self.assertEqual((marks.deadline_s, marks.key), (5.0, "k"))
-        self.assertEqual([part.tokens for part in marks.parts], [800, 660])
+        assert isinstance(metadata, CallerMetadata)
+        self.assertEqual(
+            (metadata.prompt_tokens, metadata.max_output_tokens), (1460, 80)
+        )
+        self.assertEqual((metadata.deadline_s, metadata.key), (5.0, "k"))
+        self.assertEqual([part.tokens for part in metadata.parts], [800, 660])
         for field in (
             (b"endivegw-token-counts", b"x,1"),
             (b"endivegw-token-counts", b"-5,1"),
             (b"endivegw-prompt-prefix", b"5c"),
             (b"endivegw-deadline-ms", b"soon"),
         ):
-            self.assertIsInstance(wire.read_caller([field]), Refused, field)
+            self.assertIsInstance(wire.read_caller_fields([field]), Refused, field)
 
 
 class DatagramTests(unittest.TestCase):
