--- a/tests/test_relay_parsing.py
+++ b/tests/test_relay_parsing.py
@@ -1,13 +1,13 @@
-"""Cut callers' bytes into requests and targets' bytes into events."""
+"""Tests of parsing callers' bytes into requests and targets' bytes into events."""
 
 from __future__ import annotations
 
 import unittest
 
 from endivegw.relay.admission import part_digests
-from endivegw.relay.events import EventCutter, EventOrder
+from endivegw.relay.events import EventOrder, EventSplitter
 from endivegw.relay.messages import CallerRequest, end_to_end
-from endivegw.relay.request_parser import Malformed, RequestParser
+from endivegw.relay.request_parser import MalformedRequest, RequestParser
 from endivegw.relay.wire import PromptPart
 from endivegw.routing import CallerLimits
 
@@ -19,32 +19,32 @@
 
 
 def parse(data: bytes, size: int = 1 << 20) -> list[object]:
-    """Return what a parser makes of bytes that come in pieces."""
+    """Return what the parser yields for bytes received in chunks of a given size."""
     parser = RequestParser(CallerLimits(head_bytes=400, body_bytes=50))
     found: list[object] = []
     for start in range(0, len(data), size):
         parser.feed(data[start : start + size])
         while (request := parser.next_request(0.0)) is not None:
             found.append(request)
-            if isinstance(request, Malformed):
+            if isinstance(request, MalformedRequest):
                 return found
     return found
 
 
 class RequestParserTests(unittest.TestCase):
-    """Take proper requests however they are cut, refuse all others."""
+    """Valid requests are parsed however they are split; others are rejected."""
 
-    def test_requests_cut_anywhere(self) -> None:
-        """Two requests in a row come out whole, whatever the pieces are."""
+    def test_requests_split_anywhere(self) -> None:
+        """Two pipelined requests are parsed from received chunks of any size."""
         for size in (1, 2, 7, 1000):
             requests = parse(GOOD + CHUNKED, size)
             bodies = [r.body for r in requests if isinstance(r, CallerRequest)]
             self.assertEqual(bodies, [b"abc", b"abc"], size)
 
-    def test_smuggling_is_refused(self) -> None:
-        """A caller hides a second request behind two readings of one length.
+    def test_request_smuggling_is_rejected(self) -> None:
+        """A caller smuggles a second request by means of ambiguous body lengths.
 
-        Passed on, the hidden one would run at a target under nobody's key.
+        Forwarded, the smuggled request would run at a target without authentication.
         """
         head = b"POST /a HTTP/1.1\r\nHost: x\r\n"
         for name, fields in {
@@ -61,10 +61,10 @@
         }.items():
             found = parse(head + fields)
             self.assertEqual(len(found), 1, name)
-            self.assertIsInstance(found[0], Malformed, name)
+            self.assertIsInstance(found[0], MalformedRequest, name)
 
     def test_sizes_are_bounded(self) -> None:
-        """A head or a body beyond the limits gets its own status."""
+        """A head or a body beyond its limit is rejected with the respective status."""
         head = b"POST /a HTTP/1.1\r\nHost: x\r\n"
         for data, status in (
             (head + b"X: " + b"y" * 500, 431),
@@ -73,35 +73,36 @@
             (b"GET http://x/ HTTP/1.1\r\nHost: x\r\n\r\n", 400),
         ):
             found = parse(data)
-            assert isinstance(found[-1], Malformed), data
+            assert isinstance(found[-1], MalformedRequest), data
             self.assertEqual(found[-1].status, status)
 
-    def test_fields_of_one_connection_stay_there(self) -> None:
-        """Fields that a caller names in Connection are its own."""
+    def test_hop_by_hop_fields_are_not_forwarded(self) -> None:
+        """Fields that a caller lists in ``Connection`` are not forwarded."""
         fields = [(b"host", b"x"), (b"connection", b"close, x-a"), (b"x-a", b"1")]
         self.assertEqual(end_to_end(fields), [(b"host", b"x")])
 
 
 class EventTests(unittest.TestCase):
-    """Pass each event on once, whole and in order."""
+    """Each event is relayed once, complete and in order."""
 
-    def test_a_part_of_an_event_is_held_back(self) -> None:
+    def test_a_partial_event_is_held_back(self) -> None:
         """A target dies in the middle of an event.
 
-        What another one sends would be glued to the half that the caller has.
+        Had the partial event been relayed, another target's data would be appended
+        to it.
         """
-        cutter = EventCutter()
-        events = cutter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
+        splitter = EventSplitter()
+        events = splitter.feed(b"id: 1\ndata: a\n\nid: 2\nda")
         self.assertEqual([event.event_id for event in events], [1])
-        self.assertTrue(cutter.has_rest)
-        events = cutter.feed(b"ta: b\n\n")
+        self.assertTrue(splitter.has_partial_event)
+        events = splitter.feed(b"ta: b\n\n")
         self.assertEqual(events[0].data, b"id: 2\ndata: b\n\n")
 
     def test_a_resumed_stream_neither_repeats_nor_skips(self) -> None:
-        """A second target begins too early, or too late."""
+        """A second target resumes too early, or skips an event."""
         order = EventOrder()
-        cutter = EventCutter()
-        first, second, fourth = cutter.feed(b"id: 1\n\nid: 2\n\nid: 4\n\n")
+        splitter = EventSplitter()
+        first, second, fourth = splitter.feed(b"id: 1\n\nid: 2\n\nid: 4\n\n")
         self.assertTrue(order.accept(first))
         self.assertTrue(order.accept(second))
         self.assertIs(order.accept(first), False)
@@ -109,10 +110,10 @@
 
 
 class DigestTests(unittest.TestCase):
-    """Name the beginnings of a prompt by its parts."""
+    """The prefixes of a prompt are identified by its parts."""
 
     def test_shared_parts_share_digests(self) -> None:
-        """Two prompts share the digests of their common parts and no others."""
+        """Two prompts share the digests of their common prefixes and no others."""
         shared = (PromptPart("s", 600), PromptPart("t", 10))
         one = part_digests((*shared, PromptPart("a", 300)))
         two = part_digests((*shared, PromptPart("b", 300)))
--- a/tests/test_slow_answers.py
+++ b/tests/test_slow_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the store that come slowly, over sockets."""
+"""Tests of slow answers of the store, over sockets."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from endivegw.platform.store import PlatformStore
 from endivegw.results import Done, Reason, Refused
 
-#: How long the store may be silent, and how often a piece of its answer comes.
-_SILENCE_S = 1.0
-_PIECE_EVERY_S = 0.25
+#: Time-out of the store without data, and the interval between chunks of its answer.
+_STALL_TIMEOUT_S = 1.0
+_CHUNK_INTERVAL_S = 0.25
 
 
-class DribblingStore:
-    """Answer any call with a listing of one row, a piece at a time.
+class SlowStore:
+    """Answer any call with a listing of one row, one chunk at a time.
 
-    :param pieces: how many pieces are sent of the ten that make the answer.
+    :param chunks: how many of the ten chunks of the answer are sent.
     """
 
-    def __init__(self, pieces: int) -> None:
-        self._pieces = pieces
+    def __init__(self, chunks: int) -> None:
+        self._chunks = chunks
 
     async def serve(self, stream: SocketStream) -> None:
         """Answer one call, then wait for the other side to close."""
@@ -36,8 +36,8 @@
                 await stream.receive()
                 await stream.send(head)
                 step = -(-len(body) // 10)
-                for number in range(self._pieces):
-                    await anyio.sleep(_PIECE_EVERY_S)
+                for number in range(self._chunks):
+                    await anyio.sleep(_CHUNK_INTERVAL_S)
                     await stream.send(body[number * step : (number + 1) * step])
                 await stream.receive()
             except (anyio.EndOfStream, anyio.BrokenResourceError):
@@ -46,39 +46,38 @@
 
 class SlowAnswerTests(unittest.TestCase):
     """
-    A configuration of 1,800 routes comes over a link of 10 Mbit/s that carries callers'
-    streams as well, and takes longer than one answer was given in all. The feed's
-    listing timed out within its answer, was made again from the start, and timed out
-    again: after a cut, one router went by the configuration from before it for nine
-    seconds after its other feeds were back, and its callers got 404 on new routes.
-    Events 9114 showed it: "servers" and "router-addresses" regained at 11.8 s, "op" at
-    20.9 s. What a time-out has to show is a connection that fell silent, and that is
-    one on which no further piece comes.
+    A listing of 1,800 configured routes over a link of 10 Mbit/s that also carries the
+    callers' streams takes longer than the time-out of a whole call. The time-out then
+    ended each listing within its answer and restarted it from the beginning: after a
+    network partition the router used an outdated configuration for nine seconds after
+    its other feeds had recovered (20.9 s instead of 11.8 s), and callers got 404 on
+    new routes. The time-out must only detect a connection on which no further data
+    arrives.
     """
 
-    def _list(self, pieces: int) -> object:
-        """Return what a listing ends with."""
+    def _list(self, chunks: int) -> object:
+        """Return the result of a listing."""
         found: list[object] = []
 
-        async def play() -> None:
+        async def scenario() -> None:
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = listener.extra(SocketAttribute.local_port)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(listener.serve, DribblingStore(pieces).serve)
+                tasks.start_soon(listener.serve, SlowStore(chunks).serve)
                 store = PlatformStore(f"127.0.0.1:{port}")
-                found.append(await store.list_rows("op", timeout_s=_SILENCE_S))
+                found.append(await store.list_rows("op", timeout_s=_STALL_TIMEOUT_S))
                 await store.close()
                 tasks.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
         return found[0]
 
-    def test_an_answer_that_goes_on_coming_is_read_to_its_end(self) -> None:
-        """Ten pieces take two and a half times what the store may be silent."""
+    def test_a_slow_answer_is_read_to_its_end(self) -> None:
+        """Ten chunks take two and a half times the time-out without data."""
         self.assertIsInstance(self._list(10), Done)
 
-    def test_an_answer_that_stops_coming_is_given_up(self) -> None:
-        """The connection falls silent in the middle of the answer, without a reset."""
+    def test_a_stalled_answer_times_out(self) -> None:
+        """The connection stalls in the middle of the answer, without a reset."""
         ended = self._list(5)
         self.assertIsInstance(ended, Refused)
         assert isinstance(ended, Refused)
--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -17,7 +17,7 @@
 from endivegw.platform.command import PlatformDecoder
 from endivegw.platform.configuration import DecodeError, decode_target
 from endivegw.platform.store import _rows
-from endivegw.relay.target_ends import TargetEnds
+from endivegw.relay.target_ends import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
 from endivegw.services.row_store import StoredRow
 from endivegw.telemetry import EventLog
@@ -69,9 +69,11 @@
         queue = types.SimpleNamespace(dispatcher=self.dispatcher, kick=lambda: None)
         self.pool = TargetPool(lambda: 0.0)
         log = EventLog("router", vm="vm-0")
-        ends = TargetEnds(self.pool, lambda start, names: None, lambda: 0.0, log)
+        terminations = TerminationDetector(
+            self.pool, lambda start, names: None, lambda: 0.0, log
+        )
         context = types.SimpleNamespace(
-            table=None, queue=queue, pool=self.pool, ends=ends
+            table=None, queue=queue, pool=self.pool, terminations=terminations
         )
         self.reader = TargetReader(context, PlatformDecoder(), lambda: 0.0, log)
         self.placed = 0
@@ -224,9 +226,9 @@
         )
         self.pool._idle["10.0.0.1:80"] = [kept]
         self.reader.changed(row("a", {**own, "Sequence": 9}, 2))
-        self.assertTrue(self.pool._usable(kept, fresh=True))
+        self.assertTrue(self.pool._usable(kept, require_fresh=True))
         self.reader.changed(row("a", {**own, "born": STARTED_MS + 1}, 3))
-        self.assertFalse(self.pool._usable(kept, fresh=False))
+        self.assertFalse(self.pool._usable(kept, require_fresh=False))
 
     def test_a_replaced_start_does_not_bar_the_next(self) -> None:
         """Another instance answered at a target's address, so that it was dropped.
--- a/tests/test_target_word.py
+++ b/tests/test_target_word.py
@@ -1,4 +1,4 @@
-"""What a target says of itself, and what the decisions make of it."""
+"""Tests of targets' reports about themselves and of their effect on placement."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from endivegw.platform.wire import PlatformWire
 from endivegw.quarantine import RequestRecord, TargetStart, TargetTerminated
 from endivegw.quarantine.fingerprint import Fingerprint
-from endivegw.relay.attempt import AttemptResult, End
+from endivegw.relay.attempt import AttemptOutcome, AttemptResult
 from endivegw.relay.request_progress import attempt_kind
 from endivegw.results import Reason, Refused
 from endivegw.types import (
@@ -48,7 +48,7 @@
 
 
 def work(number: int, deadline_s: float = 30.0) -> WorkItem:
-    """Return one request for it."""
+    """Return one request for that service."""
     return WorkItem(
         f"r-{number}",
         ClientAccountName("hotel"),
@@ -63,10 +63,10 @@
 
 
 class WireTests(unittest.TestCase):
-    """Read the header fields of answers."""
+    """Metadata in the header fields of answers."""
 
-    def test_a_pause_is_read_as_targets_write_it(self) -> None:
-        """Guards against a malformed field that fails an answer or pauses for good."""
+    def test_pause_is_parsed_from_retry_after(self) -> None:
+        """A malformed field must neither fail the answer nor pause a target forever."""
         wire = PlatformWire()
         for value, pause_s in (
             (b"3", 3.0),
@@ -80,30 +80,34 @@
             (b"soon", None),
             (b"", None),
         ):
-            marks = wire.read_answer(503, [(b"retry-after", value)])
-            self.assertEqual(marks.pause_s, pause_s, value)
-        self.assertIsNone(wire.read_answer(200, [(b"retry-after", b"3")]).pause_s)
-        self.assertIsNone(wire.read_answer(503, []).pause_s)
+            metadata = wire.read_answer_fields(503, [(b"retry-after", value)])
+            self.assertEqual(metadata.pause_s, pause_s, value)
+        self.assertIsNone(
+            wire.read_answer_fields(200, [(b"retry-after", b"3")]).pause_s
+        )
+        self.assertIsNone(wire.read_answer_fields(503, []).pause_s)
 
-    def test_another_instance_speaks_for_itself(self) -> None:
-        """Guards against a target that is given up for its successor's word."""
+    def test_leaving_of_another_instance_is_ignored(self) -> None:
+        """A target must not be abandoned because of another instance's report."""
         wire = PlatformWire()
         fields = [(b"server-leaving", b"1")]
-        self.assertTrue(wire.read_answer(200, fields).leaving)
-        self.assertTrue(wire.read_answer(503, fields).leaving)
-        self.assertFalse(wire.read_answer(421, fields).leaving)
-        self.assertFalse(wire.read_answer(200, [(b"server-leaving", b"0")]).leaving)
+        self.assertTrue(wire.read_answer_fields(200, fields).leaving)
+        self.assertTrue(wire.read_answer_fields(503, fields).leaving)
+        self.assertFalse(wire.read_answer_fields(421, fields).leaving)
+        self.assertFalse(
+            wire.read_answer_fields(200, [(b"server-leaving", b"0")]).leaving
+        )
 
 
-class HoldOffTests(unittest.TestCase):
-    """Targets that want nothing for a while."""
+class BackOffTests(unittest.TestCase):
+    """Targets that ask to receive no requests for some time."""
 
     def setUp(self) -> None:
         self.dispatcher = Dispatcher(Policy(choices=8), ZONE, random.Random(1))
         self.dispatcher.set_targets([view("a"), view("b")], 0.0)
 
     def places(self, count: int, now_s: float) -> list[str]:
-        """Place work that is there at the same time; return where it went."""
+        """Place concurrent requests; return the targets that they were placed on."""
         placed = []
         for number in range(count):
             decision = self.dispatcher.submit(work(number), now_s)
@@ -114,12 +118,12 @@
         return [str(decision.target) for decision in placed]
 
     def end(self, placed: Placement, now_s: float) -> None:
-        """End a placed piece of work."""
+        """Report the successful end of a placed request."""
         end = AttemptEnd(AttemptKind.OK)
         self.dispatcher.ended(placed.item.request_id, placed.target, end, now_s)
 
-    def test_work_goes_to_the_others_until_the_pause_is_over(self) -> None:
-        """Guards against work that is pressed on a target within its pause."""
+    def test_paused_target_receives_no_requests(self) -> None:
+        """Requests must go to other targets until the pause has expired."""
         self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.assertEqual(set(self.places(2, 1.0)), {"b"})
         self.assertFalse(
@@ -127,16 +131,16 @@
         )
         self.assertIn("a", self.places(2, 10.1))
 
-    def test_a_pause_ends_with_the_start_that_asked_for_it(self) -> None:
-        """Guards against a target that is left alone for its predecessor's word."""
+    def test_pause_does_not_outlast_the_instance_that_asked_for_it(self) -> None:
+        """A restarted target must not stay paused because of its predecessor."""
         self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.dispatcher.set_targets([view("a", 2), view("b")], 1.0)
         self.assertIn("a", self.places(2, 1.0))
         self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.assertTrue(self.dispatcher.availability.accepts_work(TargetName("a"), 1.0))
 
-    def test_callers_hear_at_once_when_the_first_is_back(self) -> None:
-        """Guards against work that piles up while all targets want nothing."""
+    def test_refusal_states_when_the_first_pause_expires(self) -> None:
+        """Requests must not queue up while all targets are paused."""
         self.dispatcher.availability.back_off(TargetName("a"), 1, 10.0)
         self.dispatcher.availability.back_off(TargetName("b"), 1, 7.0)
         refused = self.dispatcher.submit(work(1), 2.0)
@@ -144,8 +148,8 @@
         self.assertEqual(refused.reason, Reason.OVERLOADED)
         self.assertEqual(refused.retry_after_s, 5.0)
 
-    def test_queued_work_is_answered_when_all_want_nothing(self) -> None:
-        """Guards against work that waits out its deadline behind a pause."""
+    def test_queued_requests_are_refused_when_all_targets_pause(self) -> None:
+        """Queued requests must not wait for their deadline while targets are paused."""
         self.dispatcher.set_targets([view("a", slots=1)], 0.0)
         placed = [self.dispatcher.submit(work(number), 0.0) for number in range(9)]
         self.assertIsInstance(placed[-1], Queued)
@@ -156,8 +160,8 @@
             assert isinstance(decision, Expired)
             self.assertEqual(decision.retry_after_s, 9.0)
 
-    def test_queued_work_is_answered_when_all_leave(self) -> None:
-        """Guards against work that waits for targets that take none any more."""
+    def test_queued_requests_are_refused_when_all_targets_leave(self) -> None:
+        """Queued requests must not wait for targets that have left."""
         self.dispatcher.set_targets([view("a", slots=1)], 0.0)
         for number in range(9):
             self.dispatcher.submit(work(number), 0.0)
@@ -169,35 +173,35 @@
 
 
 class HealthTests(unittest.TestCase):
-    """What a refusal says of a target's health."""
+    """Effect of a refusal on a target's health."""
 
-    def test_a_target_that_asks_for_a_pause_is_not_sick(self) -> None:
-        """Guards against a target that gets no work long after its pause."""
-        paused = AttemptResult(End.NOT_RUN, paused=True)
+    def test_request_for_a_pause_is_not_a_failure(self) -> None:
+        """A pause must not count against health and keep requests away afterwards."""
+        paused = AttemptResult(AttemptOutcome.NOT_RUN, paused=True)
         self.assertEqual(attempt_kind(paused, True), AttemptKind.CANCELLED)
-        refused = AttemptResult(End.NOT_RUN)
+        refused = AttemptResult(AttemptOutcome.NOT_RUN)
         self.assertEqual(attempt_kind(refused, True), AttemptKind.REFUSED)
 
 
-class NewsTests(unittest.TestCase):
-    """What routers pass on arrives as it was."""
+class BroadcastTests(unittest.TestCase):
+    """Messages between routers survive encoding and decoding."""
 
-    def test_each_kind_of_news_is_read_as_it_was_written(self) -> None:
-        """Guards against news that one router writes and another drops."""
+    def test_each_kind_of_message_round_trips(self) -> None:
+        """A router must not drop a message that another router encoded."""
         start = TargetStart(InstanceId("e-1"), 7)
         other = TargetStart(InstanceId("e-2"), None)
         name = Fingerprint("fp")
-        for told in (
+        for content in (
             TargetLeaving(start),
             TargetLeaving(other),
             TargetTerminated(start, (name, Fingerprint("other"))),
             RequestRecord(name, frozenset({start, other}), frozenset({start}), True),
         ):
-            news = BroadcastMessage(InstanceId("vm-0"), told)
-            self.assertEqual(decode(encode(news)), news)
+            message = BroadcastMessage(InstanceId("vm-0"), content)
+            self.assertEqual(decode(encode(message)), message)
 
-    def test_malformed_news_is_dropped(self) -> None:
-        """Guards against a datagram that ends a router."""
+    def test_malformed_message_is_dropped(self) -> None:
+        """A malformed datagram must not terminate a router."""
         for data in (
             b'["leaving","vm",["a"]]',
             b'["leaving","vm",7]',
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -1,4 +1,4 @@
-"""The adapters of targets, against the stand-ins over sockets."""
+"""Tests of the target adapters against stand-ins over sockets."""
 
 import json
 import unittest
@@ -73,8 +73,8 @@
 
         anyio.run(main)
 
-    def test_answer_is_whole_and_counted(self):
-        """The text, the usage and the engine's own count agree."""
+    def test_answer_is_complete_and_counted(self):
+        """The text, the usage and the engine's own count are consistent."""
 
         async def scenario(adapter, engine):
             events = await collect(adapter.generate(generation("a1", "hello len=9")))
@@ -85,8 +85,8 @@
 
         self.with_engine(scenario)
 
-    def test_answer_stops_at_the_bound(self):
-        """The engine never writes beyond what the reservation holds."""
+    def test_answer_stops_at_the_token_limit(self):
+        """The engine never generates more tokens than the reservation covers."""
 
         async def scenario(adapter, engine):
             request = generation("a1", "hi len=50", bound=5)
@@ -97,8 +97,8 @@
         self.with_engine(scenario)
 
     def test_closing_the_stream_cancels(self):
-        """A caller hangs up in the middle of an answer. The engine would write
-        on and consume tokens of the budget for nobody.
+        """A caller disconnects in the middle of an answer. Without a cancellation the
+        engine would continue and consume tokens of the budget for nothing.
         """
 
         async def scenario(adapter, engine):
@@ -112,8 +112,8 @@
         self.with_engine(scenario)
 
     def test_broken_stream_resumes_without_a_second_start(self):
-        """The connection to an engine breaks in the middle of an answer. The
-        caller would see a cut answer, or the whole cost twice.
+        """The connection to an engine breaks in the middle of an answer. Without a
+        resumption the caller would get a truncated answer, or pay for it twice.
         """
 
         async def scenario(adapter, engine):
@@ -131,7 +131,7 @@
         self.with_engine(scenario, break_after_pieces=7)
 
     def test_refusal_proves_that_nothing_ran(self):
-        """An engine without capacity refuses at once; the request may go elsewhere."""
+        """An engine without capacity refuses at once; another may get the request."""
 
         async def scenario(adapter, engine):
             (event,) = await collect(adapter.generate(generation("a1")))
@@ -142,29 +142,29 @@
 
         self.with_engine(scenario, fail_fast=True)
 
-    def test_urgent_work_overtakes(self):
-        """With one slot taken, urgent work starts before batch work that waited."""
+    def test_urgent_requests_overtake_batch_requests(self):
+        """With the only slot in use, an urgent request overtakes a queued batch one."""
         order = []
 
-        async def one(adapter, name, priority):
+        async def generate(adapter, name, priority):
             request = generation(name, f"{name} len=5", priority=priority)
             await collect(adapter.generate(request))
             order.append(name)
 
         async def scenario(adapter, engine):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(one, adapter, "first", Priority.NORMAL)
+                tasks.start_soon(generate, adapter, "first", Priority.NORMAL)
                 await anyio.sleep(0.02)
-                tasks.start_soon(one, adapter, "batch", Priority.BATCH)
+                tasks.start_soon(generate, adapter, "batch", Priority.BATCH)
                 await anyio.sleep(0.02)
-                tasks.start_soon(one, adapter, "urgent", Priority.URGENT)
+                tasks.start_soon(generate, adapter, "urgent", Priority.URGENT)
             self.assertEqual(order, ["first", "urgent", "batch"])
 
         self.with_engine(scenario, slots=1, decode_tokens_per_s=40.0)
 
-    def test_orders_are_fenced_and_read_back(self):
-        """An old order reaches the engine after a newer one. Taken, it would put
-        a model in place that operators have already replaced.
+    def test_outdated_order_is_refused(self):
+        """An old order reaches the engine after a newer one. If accepted, it would undo
+        a change that operators have made since.
         """
 
         async def scenario(adapter, engine):
@@ -179,7 +179,7 @@
         self.with_engine(scenario)
 
     def test_load_report_and_cache_events_arrive_late(self):
-        """Reports say how old they are; cache events follow after their delay."""
+        """Load reports state their age, and cache events are delivered with a delay."""
 
         async def scenario(adapter, engine):
             prompt = " ".join(["word"] * 64)
@@ -195,8 +195,8 @@
         self.with_engine(scenario, cache_event_loss=0.0)
 
     def test_absent_engine_was_never_started(self):
-        """The engine's process is gone. A refused connection proves that the
-        request did not run, so that it may be tried elsewhere.
+        """The engine's process has terminated. A refused connection proves that the
+        request did not run, so it may be sent to another target.
         """
 
         async def main():
@@ -224,8 +224,8 @@
 
         return anyio.run(main)
 
-    def test_body_is_echoed_and_connection_fields_are_dropped(self):
-        """Bodies pass whole both ways; fields of one connection do not."""
+    def test_body_is_forwarded_and_hop_by_hop_fields_are_dropped(self):
+        """Bodies are forwarded completely both ways; hop-by-hop fields are not."""
         app = ServiceApp()
         fields = (("Idempotency-Key", "k1"), ("Connection", "x-hop"), ("x-hop", "1"))
         request = ServiceRequest(AttemptId("a1"), "PUT", "/stands/7", fields)
@@ -241,9 +241,9 @@
         self.assertEqual(app.calls_by_key["k1"], 1)
         self.assertEqual(app.calls_by_attempt["a1"], 1)
 
-    def test_answer_cut_midway_is_a_failure(self):
-        """The service dies in the middle of its answer. Without a failure at the
-        end the caller would take the part for the whole.
+    def test_truncated_answer_is_a_failure(self):
+        """The service terminates in the middle of its answer. Without a failure at the
+        end the caller would take the partial answer for a complete one.
         """
         app = ServiceApp(ServiceKnobs(break_after_bytes=4))
         request = ServiceRequest(AttemptId("a1"), "POST", "/")
