--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -304,13 +304,13 @@
                 await self._away(fleet.all_sidecars[:3])
             case "answers lost":
                 for router in fleet.routers:
-                    router.faults.lose_answer = 0.2
+                    router.faults.lost_answer_share = 0.2
                     router.faults.double = 0.1
-                    router.faults.late = 0.1
+                    router.faults.delayed_share = 0.1
                 await self._until(MENDED_AT_S)
                 for router in fleet.routers:
-                    router.faults.lose_answer = router.faults.double = 0.0
-                    router.faults.late = 0.0
+                    router.faults.lost_answer_share = router.faults.double = 0.0
+                    router.faults.delayed_share = 0.0
             case "router-sidecar cut":
                 first.cut_from.update(one.target for one in fleet.all_sidecars[:5])
                 await self._until(MENDED_AT_S)
@@ -326,7 +326,7 @@
             case "table away+router dies":
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(self._away, fleet.routers[1:] + fleet.all_sidecars)
-                    first.faults.away = fleet.operator_faults.away = True
+                    first.faults.unavailable = fleet.operator_faults.unavailable = True
                     await anyio.sleep(120)
                     await self._replace(first)
         await self._until(END_AT_S)
@@ -336,23 +336,23 @@
 
     async def _away(self, processes):
         for one in processes:
-            one.faults.away = True
+            one.faults.unavailable = True
         await self._until(MENDED_AT_S)
         for one in processes:
-            one.faults.away = False
-        self.fleet.operator_faults.away = False
+            one.faults.unavailable = False
+        self.fleet.operator_faults.unavailable = False
 
     async def _replace(self, router, sidecar=None):
         self.fleet.kill(router)
         await anyio.sleep(BALANCER_S)
         fresh = self.fleet.add_router()
-        fresh.faults.away = router.faults.away
+        fresh.faults.unavailable = router.faults.unavailable
         await anyio.sleep(GONE_AFTER_S)
         if sidecar is not None:
             sidecar.terminated_at_s = self.fleet.clock()
             self.fleet.add_sidecar(sidecar.target)
         await self._recover(router)
-        fresh.faults.away = False
+        fresh.faults.unavailable = False
 
     async def _pause(self, router):
         router.pause()
--- a/benchmarks/capacity/state_cost.py
+++ b/benchmarks/capacity/state_cost.py
@@ -27,7 +27,7 @@
     MembershipPolicy,
     MembershipView,
 )
-from endivegw.peers.call_auth import NonceMemory
+from endivegw.peers.call_auth import NonceCache
 from endivegw.requests.buffer import AnswerBuffer
 from endivegw.services import ListedVm, VmState
 from endivegw.targets import EngineLoad
@@ -213,7 +213,7 @@
 
 
 def _nonces(size: int) -> Any:
-    memory = NonceMemory()
+    memory = NonceCache()
     for number in range(size):
-        memory.take(f"{number:024x}", 1.0)
+        memory.accept(f"{number:024x}", 1.0)
     return memory
--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -89,7 +89,7 @@
 
 
 async def _outage(world: RequestWorld, job: OutageJob) -> None:
-    world.table_faults.away = True
+    world.table_faults.unavailable = True
     rng = random.Random(job.seed)
     end_s = world.now_s() + OUTAGE_S
     async with anyio.create_task_group() as tasks:
--- a/src/endivegw/__main__.py
+++ b/src/endivegw/__main__.py
@@ -1,6 +1,7 @@
-"""Let ``python -m endivegw`` be the same as the command ``endivegw``."""
+"""Run the ``endivegw`` command with ``python -m endivegw``."""
 
-import endivegw.process_start  # noqa: F401  first: it notes the time
+# Imported first, because it records the start time of the process.
+import endivegw.process_start  # noqa: F401
 from endivegw.cli import main
 
 if __name__ == "__main__":
--- a/src/endivegw/allowances/row_writer.py
+++ b/src/endivegw/allowances/row_writer.py
@@ -192,13 +192,13 @@
         )
         if not isinstance(rows, Done):
             return False
-        moment = rows.value.moment
-        self._record_answer(moment.now_ms, self._clock(), asked_s)
+        timestamp = rows.value.timestamp
+        self._record_answer(timestamp.now_ms, self._clock(), asked_s)
         own_row = next((row for row in rows.value.rows if row.key == self._vm), None)
         if own_row is not None:
             self._revision = own_row.revision
             await self._succeed(
-                self._decode_row(own_row), own_row.revision, moment.now_ms, asked_s
+                self._decode_row(own_row), own_row.revision, timestamp.now_ms, asked_s
             )
         self.registered = True
         return True
@@ -244,7 +244,7 @@
         if not isinstance(rows, Done):
             self._record_failure(now_s, "read")
             return
-        self._record_answer(rows.value.moment.now_ms, now_s, asked_s)
+        self._record_answer(rows.value.timestamp.now_ms, now_s, asked_s)
         self._read_at_s = now_s
         for row in rows.value.rows:
             self._apply_budget(row)
@@ -323,14 +323,14 @@
         )
         now_s = self._clock()
         match result:
-            case Done(moment):
+            case Done(timestamp):
                 self.last_write_s = now_s - asked_s
-                self._record_answer(moment.now_ms, now_s, asked_s)
-                self._commit(write, moment.revision)
+                self._record_answer(timestamp.now_ms, now_s, asked_s)
+                self._commit(write, timestamp.revision)
                 return True
-            case Conflict(rows, moment):
-                self._record_answer(moment.now_ms, now_s, asked_s)
-                return await self._resolve(write, rows, moment.now_ms, asked_s)
+            case Conflict(rows, timestamp):
+                self._record_answer(timestamp.now_ms, now_s, asked_s)
+                return await self._resolve(write, rows, timestamp.now_ms, asked_s)
         self._record_failure(now_s, result.reason.value)
         return None
 
--- a/src/endivegw/allowances/takeover.py
+++ b/src/endivegw/allowances/takeover.py
@@ -133,7 +133,7 @@
                 detail=str(error),
             )
             return
-        remaining_ms = _expires_ms(holder) - rows.value.moment.now_ms
+        remaining_ms = _expires_ms(holder) - rows.value.timestamp.now_ms
         if holder.instance_id != NOBODY and remaining_ms > 0.0:
             wait_s = min(remaining_ms / 1000.0, self._options.validity_s)
             unresponsive.next_check_s = self._clock() + wait_s
@@ -217,11 +217,11 @@
                 tuple(expected), tuple(puts), deletes=(own_row,), timeout_s=timeout_s
             )
         match result:
-            case Done(moment):
+            case Done(timestamp):
                 for put in puts:
                     name = ClientAccountName(put.key)
-                    totals[name] = decode_budget(put.value, moment.revision)
-                return remaining_row, moment.revision
+                    totals[name] = decode_budget(put.value, timestamp.revision)
+                return remaining_row, timestamp.revision
             case Conflict(rows, _) if _is_row_unchanged(rows, vm, revision):
                 _apply_totals(rows, totals)
                 return holder, revision
--- a/src/endivegw/composition/direct_router.py
+++ b/src/endivegw/composition/direct_router.py
@@ -33,7 +33,7 @@
 from endivegw.relay.target_ends import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
 from endivegw.relay.wire import WirePort
-from endivegw.services.measured_rows import MeasuredRows
+from endivegw.services.measured_rows import TimedRowStore
 from endivegw.services.row_store import RowStorePort
 from endivegw.settings.direct import DirectRouterSettings
 from endivegw.settings.mechanisms import Mechanisms
@@ -73,7 +73,7 @@
     """
     clock = steady_clock
     metrics = RouterMetrics()
-    store = MeasuredRows(store, metrics, clock)
+    store = TimedRowStore(store, metrics, clock)
     rng = random.Random()
     instance_id = InstanceId(f"{settings.vm}-{uuid.uuid4().hex[:8]}")
     log = EventLog("router", vm=settings.vm)
--- a/src/endivegw/daemons/http_messages.py
+++ b/src/endivegw/daemons/http_messages.py
@@ -9,7 +9,7 @@
 from attrs import frozen
 
 from endivegw.daemons.routed import NotAnswered, RefusedTry
-from endivegw.http_protocol import HeaderBound
+from endivegw.http_protocol import HeaderLimit
 from endivegw.results import Reason, Refused, Unknown
 from endivegw.types import Outcome
 
@@ -21,7 +21,7 @@
     "OUTCOME_HEADER",
     "REPEATABLE_HEADER",
     "error_body",
-    "header_bound",
+    "header_limit",
     "http_error",
 ]
 
@@ -140,8 +140,8 @@
     return Outcome.NOT_RUN if isinstance(problem, Refused) else Outcome.UNKNOWN
 
 
-def header_bound(max_bytes: int) -> HeaderBound:
+def header_limit(max_bytes: int) -> HeaderLimit:
     """Return the bound on a request's head, with the answer beyond it."""
     detail = f"the request line and header fields are over {max_bytes} bytes"
     error = http_error(Refused(Reason.HEADERS_TOO_LARGE, detail))
-    return HeaderBound(max_bytes, error.fields, error.body)
+    return HeaderLimit(max_bytes, error.fields, error.body)
--- a/src/endivegw/daemons/router.py
+++ b/src/endivegw/daemons/router.py
@@ -12,7 +12,7 @@
 from endivegw.configuration.agent import ConfigurationAgent
 from endivegw.daemons.background import Background
 from endivegw.daemons.http_front import HttpFront
-from endivegw.daemons.http_messages import header_bound
+from endivegw.daemons.http_messages import header_limit
 from endivegw.daemons.lent_grants import LentGrants
 from endivegw.daemons.peer_book import PeerBook
 from endivegw.daemons.placement_queue import PlacementQueue
@@ -178,7 +178,7 @@
             port,
             # A planned stop has waited for the answers in progress already.
             graceful_s=0,
-            header_bound=header_bound(self._parts.settings.http.max_header_bytes),
+            header_limit=header_limit(self._parts.settings.http.max_header_bytes),
             task_status=task_status,
         )
 
--- a/src/endivegw/daemons/row_feed.py
+++ b/src/endivegw/daemons/row_feed.py
@@ -82,7 +82,7 @@
         self._heard(result.value)
         self._reader.listed(result.value.rows)
         self._listed_s = self._clock()
-        self._revision = result.value.moment.revision
+        self._revision = result.value.timestamp.revision
         return True
 
     async def _watch(self, revision: int) -> bool:
@@ -94,7 +94,7 @@
                 self._heard(changes)
                 for row in changes.rows:
                     self._reader.changed(row)
-                self._revision = max(revision, changes.moment.revision)
+                self._revision = max(revision, changes.timestamp.revision)
                 if self._clock() - self._listed_s > _LIST_EVERY_S:
                     self._revision = None
                 return True
@@ -110,7 +110,7 @@
                 events.FEED_REGAINED,
                 table=self._table,
                 away_s=round(self._clock() - self._away_since_s, 3),
-                revision=changes.moment.revision,
+                revision=changes.timestamp.revision,
             )
             self._away_since_s = None
         self._reader.heard()
--- a/src/endivegw/exceptions.py
+++ b/src/endivegw/exceptions.py
@@ -1,8 +1,8 @@
-"""The exception base of the package.
+"""Exceptions of the package.
 
-Decisions return sentinel values with a reason (see :mod:`endivegw.results`).
-Exceptions are for what ends a command or a daemon: bad settings, a broken
-invariant, an answer that cannot be understood.
+Operations that may fail during normal use return result values with a reason (see
+:mod:`endivegw.results`). Exceptions report errors that end a command or a daemon:
+invalid settings, a violated invariant, or a response that cannot be parsed.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
     "TargetError",
 ]
 
-#: Exit code of a command that understood its input and failed.
+#: Exit code of a command that had valid input and failed.
 EXIT_FAILED = 1
 
-#: Exit code of a command whose input or settings are wrong.
+#: Exit code of a command whose input or settings are invalid.
 EXIT_USAGE = 2
 
 
 class EndivegwError(Exception):
-    """Carry a message for people and the exit code of the process.
+    """Base class of the package's exceptions.
 
-    :param message: one line, shown to the operator as it stands.
+    :param message: one line that is shown to the operator unchanged.
+    :ivar exit_code: exit code of the process that the exception ends.
     """
 
     exit_code = EXIT_FAILED
@@ -39,26 +40,25 @@
 
 
 class SettingsError(EndivegwError):
-    """Say which file, section and key of the settings is wrong, and why."""
+    """Report which file, section and key of the settings is invalid, and why."""
 
     exit_code = EXIT_USAGE
 
 
 class PlatformError(EndivegwError):
-    """Report that the platform's service gave no usable answer."""
+    """Report that a service of the platform returned no usable response."""
 
 
 class PeerError(EndivegwError):
-    """Report that another process of the fleet gave no usable answer."""
+    """Report that another process of the fleet returned no usable response."""
 
 
 class TargetError(EndivegwError):
-    """Report that a target gave no usable answer."""
+    """Report that a target returned no usable response."""
 
 
 class InvariantError(EndivegwError):
-    """Report that a promise of the product was about to be broken.
+    """Report that an operation would have violated an invariant of the product.
 
-    Raised by the checks that stay alive in production. The operation that
-    would have broken the promise does not take place.
+    Raised by checks that also run in production. The operation is not carried out.
     """
--- a/src/endivegw/http_protocol.py
+++ b/src/endivegw/http_protocol.py
@@ -1,10 +1,10 @@
-"""Bound what a connection may send without getting anywhere.
+"""Limit the size of the header section of HTTP requests.
 
-uvicorn's fast parser keeps header fields, trailers and chunk extensions of any
-length, complete or not. One stranger, without a key, could grow the process past
-its 64 MB with a header that never ends, and the machine would stop it with every
-answer in it. The bytes are therefore counted as they come, before the
-application sees the request.
+uvicorn's httptools parser buffers header fields, trailers and chunk extensions of
+any length, complete or not. An unauthenticated client could grow the process past
+its limit of 64 MB with an endless header field, and the machine would kill the
+process together with all responses in progress. The bytes are therefore counted as
+they arrive, before the application receives the request.
 """
 
 from __future__ import annotations
@@ -14,19 +14,22 @@
 from attrs import frozen
 from uvicorn.protocols.http.httptools_impl import STATUS_LINE, HttpToolsProtocol
 
-__all__ = ["BoundedHttpProtocol", "HeaderBound"]
+__all__ = ["BoundedHttpProtocol", "HeaderLimit"]
 
 _TOO_LARGE = 431
 
-#: What a field takes beside its name and value: colon, blank and line end.
+#: Bytes of a field besides its name and value: colon, space and CRLF.
 _FIELD_OVERHEAD_BYTES = 4
 
 
 @frozen
-class HeaderBound:
-    """Hold how long the head of a request may be, and the answer beyond it.
+class HeaderLimit:
+    """Hold the size limit of a request's header section and the error response.
 
-    :ivar fields: header fields of that answer.
+    :ivar max_bytes: limit for the request target, header fields and trailer fields
+        together.
+    :ivar fields: header fields of the response to a request that exceeds the limit.
+    :ivar body: body of that response.
     """
 
     max_bytes: int
@@ -34,47 +37,47 @@
     body: bytes
 
 
-class _HeadTooLarge(Exception):
-    """Stop the parser; it comes back as a parser error."""
+class _HeaderTooLarge(Exception):
+    """Stop the parser, which reports the exception as a parser error."""
 
 
 class BoundedHttpProtocol(HttpToolsProtocol):
-    """Refuse a request whose head is too long, and close its connection.
+    """Refuse a request whose header section is too large, and close the connection.
 
-    Beyond the bound the process holds at most one read of the socket.
+    Beyond the limit the process buffers at most one read of the socket.
     """
 
-    def __init__(self, *args: Any, bound: HeaderBound, **kwargs: Any) -> None:
+    def __init__(self, *args: Any, limit: HeaderLimit, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        self._bound = bound
+        self._limit = limit
         self._field_bytes = 0
-        #: Bytes of whole reads that made no message begin, go on or end.
-        self._idle_bytes = 0
-        self._moved = False
+        #: Bytes of consecutive reads in which no message started, continued or ended.
+        self._buffered_bytes = 0
+        self._progressed = False
         self._in_message = False
         self._refused = False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came, and count what the parser only keeps."""
+        """Parse received bytes, and count those that the parser only buffers."""
         if self._refused:
             return
-        self._moved = False
+        self._progressed = False
         super().data_received(data)
-        if not self._in_message or self._moved:
+        if not self._in_message or self._progressed:
             return
-        self._idle_bytes += len(data)
-        if self._idle_bytes > self._bound.max_bytes:
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes > self._limit.max_bytes:
             self._refuse()
 
     def on_message_begin(self) -> None:
-        """Begin to count."""
+        """Start counting for a new request."""
         super().on_message_begin()
         self._field_bytes = 0
         self._in_message = True
-        self._move()
+        self._record_progress()
 
     def on_url(self, url: bytes) -> None:
-        """Count the target of the request."""
+        """Count the request target."""
         self._count(len(url))
         super().on_url(url)
 
@@ -84,45 +87,45 @@
         super().on_header(name, value)
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body, which has a bound of its own."""
-        self._move()
+        """Record progress; the body has a separate limit."""
+        self._record_progress()
         super().on_body(body)
 
     def on_message_complete(self) -> None:
         """Stop counting until the next request."""
         self._in_message = False
-        self._move()
+        self._record_progress()
         super().on_message_complete()
 
     def send_400_response(self, msg: str) -> None:
-        """Answer what could not be parsed, or what was too long."""
-        if self._field_bytes > self._bound.max_bytes:
+        """Respond to a request that is malformed or exceeds the limit."""
+        if self._field_bytes > self._limit.max_bytes:
             self._refuse()
             return
         super().send_400_response(msg)
 
-    def _move(self) -> None:
-        self._moved = True
-        self._idle_bytes = 0
+    def _record_progress(self) -> None:
+        self._progressed = True
+        self._buffered_bytes = 0
 
     def _count(self, size_bytes: int) -> None:
         self._field_bytes += size_bytes
-        if self._field_bytes > self._bound.max_bytes:
-            raise _HeadTooLarge
+        if self._field_bytes > self._limit.max_bytes:
+            raise _HeaderTooLarge
 
     def _refuse(self) -> None:
         self._refused = True
         if self.cycle is None or self.cycle.response_complete:
-            self.transport.write(_answer(self._bound))
-        # An answer that has begun can only be cut off.
+            self.transport.write(_error_response(self._limit))
+        # A response that has already started can only be truncated.
         self.transport.close()
 
 
-def _answer(bound: HeaderBound) -> bytes:
+def _error_response(limit: HeaderLimit) -> bytes:
     fields = (
-        *bound.fields,
-        ("content-length", str(len(bound.body))),
+        *limit.fields,
+        ("content-length", str(len(limit.body))),
         ("connection", "close"),
     )
     lines = [f"{name}: {value}\r\n".encode("latin-1") for name, value in fields]
-    return b"".join([STATUS_LINE[_TOO_LARGE], *lines, b"\r\n", bound.body])
+    return b"".join([STATUS_LINE[_TOO_LARGE], *lines, b"\r\n", limit.body])
--- a/src/endivegw/http_server.py
+++ b/src/endivegw/http_server.py
@@ -1,4 +1,4 @@
-"""Serve an ASGI application with uvicorn inside a task group."""
+"""Serve an ASGI application with uvicorn in an anyio task group."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 import uvicorn
 from anyio.abc import TaskStatus
 
-from endivegw.http_protocol import BoundedHttpProtocol, HeaderBound
+from endivegw.http_protocol import BoundedHttpProtocol, HeaderLimit
 
 __all__ = ["ServedAddress", "serve_asgi"]
 
 #: Host and port that a server listens on.
 ServedAddress = tuple[str, int]
 
-#: Connections that wait to be accepted; a balancer opens many at once when a
-#: router joins.
+#: Maximum number of connections waiting to be accepted. A load balancer opens many
+#: connections at once when a router joins.
 _BACKLOG = 2048
 
 
 class _Server(uvicorn.Server):
-    """Leave signals to the daemon, and say when the sockets listen."""
+    """Server that installs no signal handlers and reports when its sockets listen."""
 
     def __init__(self, config: uvicorn.Config, on_started: Callable[[], None]) -> None:
         super().__init__(config)
@@ -32,11 +32,11 @@
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Install no handlers: the daemon that runs the server has its own."""
+        """Install no signal handlers: the daemon that runs the server has its own."""
         yield
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Listen, then report it."""
+        """Open the sockets, then report that the server listens."""
         await super().startup(sockets)
         if not self.should_exit:
             self._on_started()
@@ -49,23 +49,23 @@
     *,
     lifespan: bool = False,
     graceful_s: int = 5,
-    header_bound: HeaderBound | None = None,
+    header_limit: HeaderLimit | None = None,
     task_status: TaskStatus[ServedAddress] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve until cancelled; report the address once the socket listens.
 
     :param app: the ASGI application.
-    :param port: 0 for any free one.
-    :param lifespan: whether the application takes lifespan events.
-    :param graceful_s: how long answers in progress may still run after the
-        cancellation; beyond it they are cut off.
-    :param header_bound: None where every client is trusted with the length of
-        its header fields.
+    :param port: port to listen on, 0 for any free port.
+    :param lifespan: whether the application handles lifespan events.
+    :param graceful_s: how long responses in progress may continue after the
+        cancellation before they are truncated.
+    :param header_limit: limit of the size of header sections, None if all clients
+        are trusted.
     """
-    # The protocol is named because the event loop asks for it: on sockets without
-    # it, it leaves Nagle's algorithm on. A piece of an answer then waits in the
-    # kernel until the client acknowledges the piece before, which clients put off
-    # for 40 ms; one notices it as latencies that cluster there.
+    # The protocol is explicit because the event loop disables Nagle's algorithm only
+    # on sockets that have it. Otherwise a chunk of a response waits in the kernel
+    # until the client acknowledges the previous chunk. Clients delay
+    # acknowledgements by 40 ms, so that latencies cluster at that value.
     tcp = (socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     with socket.socket(*tcp) as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -73,7 +73,7 @@
         address: ServedAddress = listener.getsockname()[:2]
         config = uvicorn.Config(
             app,
-            http=_protocol(header_bound),
+            http=_protocol(header_limit),
             lifespan="on" if lifespan else "off",
             log_config=None,
             log_level="critical",
@@ -85,16 +85,17 @@
         await _run_until_cancelled(server, listener)
 
 
-def _protocol(bound: HeaderBound | None) -> Any:
-    """Return what uvicorn makes a connection's protocol with."""
-    if bound is None:
+def _protocol(limit: HeaderLimit | None) -> Any:
+    """Return uvicorn's setting for the protocol class of a connection."""
+    if limit is None:
         return "httptools"
-    return functools.partial(BoundedHttpProtocol, bound=bound)
+    return functools.partial(BoundedHttpProtocol, limit=limit)
 
 
 async def _run_until_cancelled(server: _Server, listener: socket.socket) -> None:
     async def run() -> None:
-        # Shielded, so that answers in progress end before the sockets close.
+        # Shielded so that responses in progress can complete before the sockets
+        # close.
         with anyio.CancelScope(shield=True):
             await server.serve(sockets=[listener])
 
--- a/src/endivegw/peers/__init__.py
+++ b/src/endivegw/peers/__init__.py
@@ -1,7 +1,7 @@
-"""Calls between the fleet's own processes, over HTTP/2 by grpclib."""
+"""gRPC calls between the fleet's own processes, implemented with grpclib."""
 
 from endivegw.peers.client import SidecarClient
-from endivegw.peers.errors import Broken, NotDelivered
+from endivegw.peers.errors import NotDelivered, OutcomeUnknown
 from endivegw.peers.limits import BODY_CHUNK_BYTES, MAX_MESSAGE_BYTES
 from endivegw.peers.router_client import RouterClient
 from endivegw.peers.security import (
@@ -17,7 +17,7 @@
 
 __all__ = [
     "BODY_CHUNK_BYTES",
-    "Broken",
+    "OutcomeUnknown",
     "KeyedPeers",
     "MAX_MESSAGE_BYTES",
     "NotDelivered",
--- a/src/endivegw/peers/call.py
+++ b/src/endivegw/peers/call.py
@@ -1,4 +1,4 @@
-"""What each call to another process of the fleet goes through."""
+"""Connection setup and error handling of calls to other processes of the fleet."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from grpclib.exceptions import GRPCError, ProtocolError, StreamTerminatedError
 
 from endivegw.exceptions import PeerError
-from endivegw.peers.errors import Broken, NotDelivered
+from endivegw.peers.errors import NotDelivered, OutcomeUnknown
 
 __all__ = [
     "DEFAULT_CONNECT_TIMEOUT_S",
-    "LOST",
-    "call_once",
-    "cancelling",
+    "TRANSPORT_ERRORS",
+    "call_error",
+    "call_unary",
+    "cancellation_count",
     "connect",
-    "forget_cancellation",
-    "lost_error",
+    "discard_cancellation",
 ]
 
-#: How long a connection may take to be made. Two regions are some 100 ms apart;
-#: a second covers one lost packet and leaves time to place the request elsewhere.
+#: Timeout for opening a connection. The latency between two regions is about 100 ms;
+#: one second covers one lost packet and leaves time to place the request elsewhere.
 DEFAULT_CONNECT_TIMEOUT_S = 1.0
 
-#: What the library raises where a call's outcome is lost.
-LOST = (
+#: Exceptions raised by grpclib when the outcome of a call is lost.
+TRANSPORT_ERRORS = (
     GRPCError,
     ProtocolError,
     StreamTerminatedError,
@@ -36,60 +36,64 @@
 )
 
 
-async def call_once(
+async def call_unary(
     method: Any, request: Any, timeout_s: float, connect_timeout_s: float
 ) -> Any:
-    """Make a call of one request and one reply; return the reply.
+    """Make a unary call and return its reply.
 
-    :raises NotDelivered: where the other process cannot have seen the request.
-    :raises Broken: where it may have.
+    :raises NotDelivered: if the other process cannot have received the request.
+    :raises OutcomeUnknown: if the other process may have received it.
     """
     written = False
-    before = cancelling()
+    before = cancellation_count()
     try:
         async with method.open(timeout=timeout_s) as stream:
             await connect(stream, connect_timeout_s)
             written = True
             await stream.send_message(request, end=True)
             reply = await stream.recv_message()
-    except LOST as error:
-        forget_cancellation(before)
-        raise lost_error(written, error) from error
+    except TRANSPORT_ERRORS as error:
+        discard_cancellation(before)
+        raise call_error(written, error) from error
     if reply is None:
-        raise Broken("the call ended without a reply")
+        raise OutcomeUnknown("call ended without a reply")
     return reply
 
 
 async def connect(stream: Any, timeout_s: float) -> None:
-    """Make the connection where there is none, and open the call."""
-    # In this task: a task for the wait would cost each call more than the call's
-    # own headers, as the connection is there but for the first one.
+    """Open the call, and the connection if there is none."""
+    # The wait runs in this task. A task of its own would cost each call more than
+    # the call's headers, although only the first call has to wait.
     async with asyncio.timeout(timeout_s):
         await stream.send_request()
 
 
-def lost_error(written: bool, error: BaseException) -> PeerError:
-    """Return what a lost call raises, by how far it got."""
+def call_error(written: bool, error: BaseException) -> PeerError:
+    """Return the exception for a failed call.
+
+    :param written: whether the request was written to the connection.
+    """
     if written and not _unauthenticated(error):
-        return Broken(_describe(error))
+        return OutcomeUnknown(_describe(error))
     return NotDelivered(_describe(error))
 
 
-def cancelling() -> int:
-    """Return how many cancellations of this task are counted."""
+def cancellation_count() -> int:
+    """Return the number of pending cancellation requests of the current task."""
     task = asyncio.current_task()
     return task.cancelling() if task else 0
 
 
-def forget_cancellation(before: int) -> None:
-    """Take back the cancellation by which the library woke this task.
+def discard_cancellation(before: int) -> None:
+    """Discard the cancellation request that grpclib made for this task.
 
-    Where a connection breaks, grpclib cancels the tasks that wait on it and
-    turns the cancellation into an error, but leaves it counted. The next scope
-    of the task that times out would then let a cancellation escape, which ends
-    a caller's request without an answer.
+    When a connection breaks, grpclib cancels the tasks that wait on it and converts
+    the cancellation into an error, but does not reset the task's count of
+    cancellation requests. The next cancel scope of the task that times out would
+    then let a cancellation escape, which would end a caller's request without a
+    response.
 
-    :param before: how many were counted when the call began.
+    :param before: number of cancellation requests when the call started.
     """
     task = asyncio.current_task()
     if task is not None and task.cancelling() > before:
@@ -97,7 +101,7 @@
 
 
 def _unauthenticated(error: BaseException) -> bool:
-    # Said before any handler runs, so that the call had no effect.
+    # This status is sent before any handler runs, so that the call had no effect.
     return isinstance(error, GRPCError) and error.status is Status.UNAUTHENTICATED
 
 
--- a/src/endivegw/peers/client.py
+++ b/src/endivegw/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls from one process of the fleet to a sidecar."""
+"""Client for the calls to a sidecar."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.peers._generated.endivegw_peers_grpc import SidecarStub
 from endivegw.peers.call import (
-    LOST,
-    cancelling,
+    TRANSPORT_ERRORS,
+    call_error,
+    cancellation_count,
     connect,
-    forget_cancellation,
-    lost_error,
+    discard_cancellation,
 )
 from endivegw.peers.limits import BODY_CHUNK_BYTES
 from endivegw.peers.peer_client import PeerClient
@@ -21,7 +21,7 @@
 
 
 class SidecarClient(PeerClient):
-    """Call one sidecar; the parameters are those of :class:`PeerClient`."""
+    """Call one sidecar; takes the parameters of :class:`PeerClient` except the stub."""
 
     def __init__(self, *address: Any, **options: Any) -> None:
         super().__init__(SidecarStub, *address, **options)
@@ -29,24 +29,24 @@
     async def execute(
         self, start: pb.ExecuteStart, body: AsyncIterator[bytes] | None = None
     ) -> AsyncGenerator[pb.Frame, None]:
-        """Hand over an attempt and yield the frames of its answer.
+        """Start an attempt and yield the frames of its response.
 
-        Closing the iterator leaves the attempt running; :meth:`cancel` ends it.
+        Closing the iterator does not end the attempt; :meth:`cancel` does.
 
-        :param body: chunks of a plain service's request body.
-        :raises NotDelivered: where the sidecar cannot have seen the start.
-        :raises Broken: where it may have.
+        :param body: chunks of the request body for a plain service.
+        :raises NotDelivered: if the sidecar cannot have received the start message.
+        :raises OutcomeUnknown: if the sidecar may have received it.
         """
         written = False
-        before = cancelling()
+        before = cancellation_count()
         try:
             async with self._stub.Execute.open() as stream:
                 await connect(stream, self._connect_timeout_s)
                 written = True
                 message = pb.ExecuteMessage(start=start)
                 await stream.send_message(message, end=body is None)
-                # The body goes out beside the answer: a service may answer,
-                # or the sidecar refuse, before it has read the whole body.
+                # The body is sent concurrently with the response, because a service
+                # may respond, or the sidecar refuse, before reading all of it.
                 sender = _start_sender(stream, body)
                 try:
                     async for frame in stream:
@@ -54,9 +54,9 @@
                 finally:
                     if sender is not None:
                         await _stop(sender)
-        except LOST as error:
-            forget_cancellation(before)
-            raise lost_error(written, error) from error
+        except TRANSPORT_ERRORS as error:
+            discard_cancellation(before)
+            raise call_error(written, error) from error
 
     async def cancel(self, request: pb.CancelRequest, timeout_s: float) -> Any:
         """Return the :class:`pb.CancelReply`."""
@@ -80,8 +80,8 @@
 async def _send_body(stream: Any, body: AsyncIterator[bytes]) -> None:
     async for data in body:
         for start in range(0, len(data), BODY_CHUNK_BYTES):
-            piece = data[start : start + BODY_CHUNK_BYTES]
-            chunk = pb.BodyChunk(data=piece)
+            chunk_data = data[start : start + BODY_CHUNK_BYTES]
+            chunk = pb.BodyChunk(data=chunk_data)
             await stream.send_message(pb.ExecuteMessage(chunk=chunk))
     last = pb.ExecuteMessage(chunk=pb.BodyChunk(last=True))
     await stream.send_message(last, end=True)
@@ -89,6 +89,6 @@
 
 async def _stop(sender: asyncio.Future[None]) -> None:
     sender.cancel()
-    # What went wrong with the body shows on the answer's side: the sidecar sees
-    # the body end without its last chunk and fails the attempt.
+    # An error while sending the body is visible in the response: the sidecar
+    # receives the body without its last chunk and fails the attempt.
     await asyncio.gather(sender, return_exceptions=True)
--- a/src/endivegw/peers/errors.py
+++ b/src/endivegw/peers/errors.py
@@ -1,22 +1,22 @@
-"""What a call to another process of the fleet can fail with."""
+"""Exceptions of calls to other processes of the fleet."""
 
 from __future__ import annotations
 
 from endivegw.exceptions import PeerError
 
-__all__ = ["Broken", "NotDelivered"]
+__all__ = ["OutcomeUnknown", "NotDelivered"]
 
 
 class NotDelivered(PeerError):
-    """Report that the other process cannot have seen the call.
+    """Report that the other process cannot have received the call.
 
-    Raised only where the connection was not made or the first message was not
-    yet written. Work that was to start for this call has not started.
+    Raised only if the connection was not established, the first message was not
+    written or the call was refused as unauthenticated. The call had no effect.
     """
 
 
-class Broken(PeerError):
-    """Report that the call was written and its outcome was lost.
+class OutcomeUnknown(PeerError):
+    """Report that the call was written and its outcome is not known.
 
-    The other process may have seen it, acted on it, and still be at it.
+    The other process may have received and executed it, or may still be executing it.
     """
--- a/src/endivegw/peers/heartbeat_stream.py
+++ b/src/endivegw/peers/heartbeat_stream.py
@@ -1,9 +1,9 @@
-"""Exchange heartbeats over one call that stays open.
+"""Exchange heartbeats over one long-lived streaming call.
 
-A call of its own for each heartbeat costs 1.9 ms of processor time a side,
-most of it for the headers of the call. Heartbeats are most of what a daemon
-spends on control, of which it may spend 10 ms a second; docs/CAPACITY.md has
-both figures.
+A separate call for each heartbeat costs 1.9 ms of CPU time on each side, mostly for
+the headers of the call. Heartbeats are the largest part of a daemon's control
+traffic, which is limited to 10 ms of CPU time per second; docs/CAPACITY.md has both
+figures.
 """
 
 from __future__ import annotations
@@ -12,22 +12,23 @@
 from typing import Any
 
 from endivegw.peers.call import (
-    LOST,
-    cancelling,
+    TRANSPORT_ERRORS,
+    call_error,
+    cancellation_count,
     connect,
-    forget_cancellation,
-    lost_error,
+    discard_cancellation,
 )
-from endivegw.peers.errors import Broken
+from endivegw.peers.errors import OutcomeUnknown
 
 __all__ = ["HeartbeatStream"]
 
 
 class HeartbeatStream:
-    """Ask one peer, one heartbeat at a time.
+    """Send heartbeats to one peer, one at a time.
 
-    :param method: the stub's method, from many requests to as many replies.
-    :param connect_timeout_s: how long making the connection may take.
+    :param method: bidirectional streaming method of the stub, with one reply per
+        request.
+    :param connect_timeout_s: timeout for opening the connection.
     """
 
     def __init__(self, method: Any, connect_timeout_s: float) -> None:
@@ -38,29 +39,29 @@
         self._lock = asyncio.Lock()
 
     async def exchange(self, request: Any, timeout_s: float) -> Any:
-        """Return the reply to a heartbeat.
+        """Send a heartbeat and return its reply.
 
-        :raises NotDelivered: where the peer cannot have seen it.
-        :raises Broken: where it may have.
+        :raises NotDelivered: if the peer cannot have received the heartbeat.
+        :raises OutcomeUnknown: if the peer may have received it.
         """
         async with self._lock:
-            before = cancelling()
+            before = cancellation_count()
             try:
                 async with asyncio.timeout(timeout_s):
                     reply = await self._exchange(request)
-            except LOST as error:
+            except TRANSPORT_ERRORS as error:
                 written = self._opened
-                cause = await self._drop(error)
-                forget_cancellation(before)
-                raise lost_error(written, cause) from error
-            except BaseException as ending:
-                # A reply that nobody waited for would be taken for the reply
-                # to the next heartbeat, and each view after it be one too old.
-                await self._drop(ending)
+                cause = await self._close_stream(error)
+                discard_cancellation(before)
+                raise call_error(written, cause) from error
+            except BaseException as interruption:
+                # The reply to an abandoned heartbeat would be taken for the reply
+                # to the next one, and every later reply would be one heartbeat old.
+                await self._close_stream(interruption)
                 raise
             if reply is None:
-                ended = Broken("the peer ended the heartbeats")
-                await self._drop(ended)
+                ended = OutcomeUnknown("peer closed the heartbeat stream")
+                await self._close_stream(ended)
                 raise ended
             return reply
 
@@ -72,10 +73,11 @@
         await self._stream.send_message(request)
         return await self._stream.recv_message()
 
-    async def _drop(self, error: BaseException) -> BaseException:
-        """Give the call up, so that the next heartbeat opens a new one.
+    async def _close_stream(self, error: BaseException) -> BaseException:
+        """Close the call, so that the next heartbeat opens a new one.
 
-        :returns: the error, or what the peer said where it ended the call.
+        :returns: the error that the peer reported when it ended the call, otherwise
+            ``error``.
         """
         stream, self._stream = self._stream, None
         self._opened = False
@@ -83,6 +85,6 @@
             return error
         try:
             await stream.__aexit__(type(error), error, None)
-        except LOST as said:
-            return said
+        except TRANSPORT_ERRORS as reported:
+            return reported
         return error
--- a/src/endivegw/peers/limits.py
+++ b/src/endivegw/peers/limits.py
@@ -1,4 +1,4 @@
-"""Bounds on the messages between processes, checked on both sides."""
+"""Limits of messages and connections between processes, enforced on both sides."""
 
 from __future__ import annotations
 
@@ -18,54 +18,62 @@
     "peer_configuration",
 ]
 
-#: The largest message. A configuration snapshot of 280 accounts and 650 targets
-#: is below 1 MiB; a request's JSON body is bounded to 4 MiB by the HTTP front.
+#: Maximum size of a message. A configuration snapshot of 280 accounts and 650 targets
+#: is smaller than 1 MiB; the HTTP front end limits a request's JSON body to 4 MiB.
 MAX_MESSAGE_BYTES = 8 * 2**20
 
-#: The size that longer bodies are cut into, so that one upload does not hold up
-#: the answers that share its connection for more than some milliseconds.
+#: Maximum size of a chunk of a request body, so that one upload delays the responses
+#: on its connection by a few milliseconds at most.
 BODY_CHUNK_BYTES = 64 * 2**10
 
-#: Unread bytes of one stream; a slow reader holds back its own stream only.
+#: Flow-control window of one stream; a slow reader blocks only its own stream.
 STREAM_WINDOW_BYTES = 256 * 2**10
 
-#: Unread bytes of one connection, for a few dozen answers at once.
+#: Flow-control window of one connection, sufficient for a few dozen concurrent
+#: responses.
 CONNECTION_WINDOW_BYTES = 4 * 2**20
 
-#: A silent peer is noticed after interval plus timeout, well within a request.
+#: An unresponsive peer is detected after the interval plus the timeout, well within
+#: the duration of a request.
 _KEEPALIVE_INTERVAL_S = 10.0
 _KEEPALIVE_TIMEOUT_S = 5.0
 
 
 class BoundedCodec(ProtoCodec):
-    """Refuse to write or read a message above :data:`MAX_MESSAGE_BYTES`.
+    """Refuse to send or receive a message above :data:`MAX_MESSAGE_BYTES`.
 
-    One oversized message would hold up every stream of its connection and grow
-    the process past its 64 MB. The sender learns it before anything leaves.
+    One oversized message would block every stream of its connection and grow the
+    process past its limit of 64 MB. The sender detects it before any byte is sent.
     """
 
     def encode(self, message: Any, message_type: Any) -> bytes:
-        """Return the message's bytes.
+        """Encode a message.
 
-        :raises PeerError: where they are too many.
+        :raises PeerError: if the encoded message exceeds the limit.
         """
         data: bytes = super().encode(message, message_type)
         if len(data) > MAX_MESSAGE_BYTES:
-            raise PeerError(f"a message of {len(data)} bytes is too large to send")
+            raise PeerError(
+                f"outgoing message of {len(data)} bytes exceeds the limit of"
+                f" {MAX_MESSAGE_BYTES}"
+            )
         return data
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message.
+        """Decode a message.
 
-        :raises PeerError: where it is too large.
+        :raises PeerError: if the encoded message exceeds the limit.
         """
         if len(data) > MAX_MESSAGE_BYTES:
-            raise PeerError(f"a message of {len(data)} bytes is too large to read")
+            raise PeerError(
+                f"received message of {len(data)} bytes exceeds the limit of"
+                f" {MAX_MESSAGE_BYTES}"
+            )
         return super().decode(data, message_type)
 
 
 def peer_configuration() -> Configuration:
-    """Return the HTTP/2 settings that both sides of a connection use."""
+    """Return the HTTP/2 settings used by both sides of a connection."""
     return Configuration(
         _keepalive_time=_KEEPALIVE_INTERVAL_S,
         _keepalive_timeout=_KEEPALIVE_TIMEOUT_S,
--- a/src/endivegw/peers/peer_client.py
+++ b/src/endivegw/peers/peer_client.py
@@ -1,4 +1,4 @@
-"""What clients of sidecars and of routers have in common."""
+"""Common base of the clients for calls to sidecars and routers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from grpclib.client import Channel
 
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
-from endivegw.peers.call import DEFAULT_CONNECT_TIMEOUT_S, call_once
+from endivegw.peers.call import DEFAULT_CONNECT_TIMEOUT_S, call_unary
 from endivegw.peers.heartbeat_stream import HeartbeatStream
 from endivegw.peers.security import PeerSecurity, PlainPeers, open_channel
 
@@ -15,15 +15,15 @@
 
 
 class PeerClient:
-    """Call one process over one connection, which is made anew when it breaks.
+    """Call one process over one connection, which is reopened after it breaks.
 
-    Each call raises :exc:`NotDelivered` where the other process cannot have seen
-    it, and :exc:`Broken` where it may have.
+    Each call raises :exc:`NotDelivered` if the other process cannot have received it,
+    and :exc:`OutcomeUnknown` if it may have.
 
-    :param stub: makes the generated stub for a channel.
-    :param security: how calls prove that they come from the fleet.
+    :param stub: returns the generated stub for a channel.
+    :param security: how calls are authenticated.
     :param sender: the instance id of this process.
-    :param connect_timeout_s: how long making the connection may take.
+    :param connect_timeout_s: timeout for opening the connection.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._heartbeats = HeartbeatStream(self._stub.Heartbeat, connect_timeout_s)
 
     def close(self) -> None:
-        """Close the connection; running calls end as :exc:`Broken`."""
+        """Close the connection; running calls raise :exc:`OutcomeUnknown`."""
         self._channel.close()
 
     async def heartbeat(self, request: pb.HeartbeatRequest, timeout_s: float) -> Any:
@@ -54,4 +54,4 @@
         return await self._call(self._stub.Configuration, request, timeout_s)
 
     async def _call(self, method: Any, request: Any, timeout_s: float) -> Any:
-        return await call_once(method, request, timeout_s, self._connect_timeout_s)
+        return await call_unary(method, request, timeout_s, self._connect_timeout_s)
--- a/src/endivegw/peers/router_client.py
+++ b/src/endivegw/peers/router_client.py
@@ -1,4 +1,4 @@
-"""Calls from one process of the fleet to a router."""
+"""Client for the calls to a router."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RouterClient(PeerClient):
-    """Call one router; the parameters are those of :class:`PeerClient`."""
+    """Call one router; takes the parameters of :class:`PeerClient` except the stub."""
 
     def __init__(self, *address: Any, **options: Any) -> None:
         super().__init__(RouterStub, *address, **options)
--- a/src/endivegw/peers/security.py
+++ b/src/endivegw/peers/security.py
@@ -1,9 +1,9 @@
-"""Open channels and servers between the fleet's processes, authenticated.
+"""Authenticated channels and servers for calls between the fleet's processes.
 
-A sidecar starts work, seals grants and orders its engine about, so that
-whoever can call it can spend any budget. It therefore takes calls of the
-fleet's own processes only: by mutual TLS, or by messages that carry a keyed
-tag. Calls without either are taken only where the settings say so.
+A sidecar starts work, seals grants and controls its engine, so that any process that
+can call it can spend any budget. It therefore accepts only calls from the fleet's own
+processes, authenticated by mutual TLS or by messages that carry a keyed tag.
+Unauthenticated calls are accepted only if the settings allow them.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     AUTH_HEADER,
     MIN_KEY_BYTES,
     CallTags,
-    NonceMemory,
+    NonceCache,
     derive_call_key,
     make_credentials,
     parse_credentials,
@@ -43,7 +43,7 @@
     "PlainPeers",
     "TlsPeers",
     "keyed_peers",
-    "guard_server",
+    "install_authentication",
     "open_channel",
     "server_codec",
     "server_tls",
@@ -57,14 +57,14 @@
 
 @frozen
 class PlainPeers:
-    """Take any call; only where the settings say so."""
+    """Accept any call without authentication; used only if the settings allow it."""
 
 
 @frozen
 class KeyedPeers:
-    """Tag each message under a key that the fleet's processes share.
+    """Authenticate each message by a tag under a key that the fleet's processes share.
 
-    :param keys: the first one signs, each one is accepted.
+    :param keys: messages are signed with the first key; each key is accepted.
     """
 
     keys: tuple[bytes, ...]
@@ -72,7 +72,7 @@
 
 @frozen(eq=False)
 class TlsPeers:
-    """Take calls from holders of a certificate of the fleet's own authority."""
+    """Accept calls from processes with a certificate of the fleet's own CA."""
 
     client: ssl.SSLContext
     server: ssl.SSLContext
@@ -82,19 +82,19 @@
 
 
 def keyed_peers(key_file: pathlib.Path) -> KeyedPeers:
-    """Read a key file: one key a line, the signing one first.
+    """Read a key file with one key per line, the signing key first.
 
-    :raises SettingsError: for an unreadable file and for a short key.
+    :raises SettingsError: if the file is unreadable or empty, or a key is too short.
     """
     try:
         lines = key_file.read_bytes().split()
     except OSError as error:
         raise SettingsError(f"[peers] key_file: {error}") from error
     if not lines:
-        raise SettingsError(f"[peers] key_file: {key_file} holds no key")
+        raise SettingsError(f"[peers] key_file: {key_file} contains no key")
     if any(len(line) < MIN_KEY_BYTES for line in lines):
         raise SettingsError(
-            f"[peers] key_file: each key must have {MIN_KEY_BYTES} characters or more"
+            f"[peers] key_file: each key must have at least {MIN_KEY_BYTES} characters"
         )
     return KeyedPeers(tuple(lines))
 
@@ -102,15 +102,15 @@
 def tls_peers(
     ca: pathlib.Path, certificate: pathlib.Path, key: pathlib.Path
 ) -> TlsPeers:
-    """Load the authority and this process's certificate.
+    """Load the CA certificate and the certificate and key of this process.
 
-    :raises SettingsError: where a file cannot be read or does not fit.
+    :raises SettingsError: if a file cannot be read or is invalid.
     """
     try:
         client = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        # Machines are replaced under changing addresses all day. The authority
-        # signs for this fleet alone, so that its signature is the proof, not
-        # the name in the certificate.
+        # Machines are replaced throughout the day, and their addresses change. The
+        # CA signs for this fleet only, so that its signature authenticates a peer
+        # and the name in the certificate need not be checked.
         client.check_hostname = False
         server = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
         for context in (client, server):
@@ -125,7 +125,7 @@
 
 
 def server_tls(security: PeerSecurity) -> ssl.SSLContext | None:
-    """Return what the server's ``start`` takes as ``ssl``."""
+    """Return the ``ssl`` argument for the server's ``start`` method."""
     return security.server if isinstance(security, TlsPeers) else None
 
 
@@ -137,10 +137,10 @@
     sender: str = "",
     clock: Clock = time.time,
 ) -> Channel:
-    """Return a channel to a peer; it connects with the first call.
+    """Return a channel to a peer, which connects on the first call.
 
-    :param sender: the instance id of this process; used with keyed messages.
-    :param clock: seconds since the epoch.
+    :param sender: the instance id of this process; used with keyed messages only.
+    :param clock: returns seconds since the epoch.
     """
     config = peer_configuration()
     match security:
@@ -153,23 +153,23 @@
 
 
 def server_codec(security: PeerSecurity) -> ProtoCodec:
-    """Return the codec of a server that takes calls in this way."""
+    """Return the server's codec for the kind of authentication."""
     return _ServerCodec() if isinstance(security, KeyedPeers) else BoundedCodec()
 
 
-def guard_server(
+def install_authentication(
     server: Server, security: PeerSecurity, *, clock: Clock = time.time
 ) -> None:
-    """Let a server refuse strangers' calls, where messages are keyed.
+    """Make a server refuse unauthenticated calls if messages are keyed.
 
-    With TLS the handshake refuses them.
+    With TLS, the handshake already refuses them.
     """
     if isinstance(security, KeyedPeers):
-        listen(server, RecvRequest, _Guard(security.keys, clock).check)
+        listen(server, RecvRequest, _Authenticator(security.keys, clock).check)
 
 
 class _CallCodec(BoundedCodec):
-    """Tag what is sent in one call, and check what comes back."""
+    """Tag the messages sent in one call, and verify those received."""
 
     def __init__(self, sent: CallTags, received: CallTags) -> None:
         self._sent = sent
@@ -181,17 +181,17 @@
     def decode(self, data: bytes, message_type: Any) -> Any:
         payload = self._received.remove(data)
         if payload is None:
-            raise ProtocolError("a message's tag does not hold")
+            raise ProtocolError("authentication tag of a message is invalid")
         return super().decode(payload, message_type)
 
 
-#: The codec of the call that the present task serves. Each call has a task of
-#: its own, and the tasks which that one starts inherit it.
+#: The codec of the call that the current task serves. Each call has its own task, and
+#: the tasks started by that task inherit the value.
 _served_call: contextvars.ContextVar[_CallCodec] = contextvars.ContextVar("served_call")
 
 
 class _ServerCodec(ProtoCodec):
-    """Use the codec of the call that is being served."""
+    """Delegate to the codec of the call that the current task serves."""
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         return _served_call.get().encode(message, message_type)
@@ -200,19 +200,21 @@
         return _served_call.get().decode(data, message_type)
 
 
-class _Guard:
-    """Refuse calls without valid credentials, before their body is read."""
+class _Authenticator:
+    """Refuse calls without valid credentials before their body is read."""
 
     def __init__(self, keys: tuple[bytes, ...], clock: Clock) -> None:
         self._keys = keys
         self._clock = clock
-        self._nonces = NonceMemory()
+        self._nonces = NonceCache()
 
     async def check(self, event: RecvRequest) -> None:
         value = event.metadata.get(AUTH_HEADER)
         credentials = parse_credentials(value) if isinstance(value, str) else None
         if credentials is None:
-            raise GRPCError(Status.UNAUTHENTICATED, "the call has no credentials")
+            raise GRPCError(
+                Status.UNAUTHENTICATED, "call has no credentials or malformed ones"
+            )
         result = verify_credentials(
             self._keys, event.method_name, credentials, self._nonces, self._clock()
         )
@@ -223,7 +225,7 @@
 
 
 class _KeyedChannel(Channel):
-    """Give each call its credentials and its codec."""
+    """Channel that gives each call its own credentials and codec."""
 
     def __init__(
         self, host: str, port: int, key: bytes, sender: str, clock: Clock
@@ -244,7 +246,7 @@
         deadline: Any = None,
         metadata: Any = None,
     ) -> Stream[Any, Any]:
-        """Open a call under a key of its own."""
+        """Open a call with its own key."""
         nonce = secrets.token_hex(_NONCE_BYTES)
         time_ms = int(self._clock() * 1000)
         key = derive_call_key(self._shared_key, name, self._sender, time_ms, nonce)
@@ -258,7 +260,7 @@
             deadline=deadline,
             metadata={**dict(metadata or ()), AUTH_HEADER: credentials.to_header()},
         )
-        # The library has one codec for a channel. The tags are numbered within
-        # a call, and so each call needs its own.
+        # grpclib has one codec per channel, but tags are numbered per call, so that
+        # each call needs its own codec.
         stream._codec = _CallCodec(CallTags(key, b"c"), CallTags(key, b"s"))
         return stream
--- a/src/endivegw/peers/server.py
+++ b/src/endivegw/peers/server.py
@@ -1,4 +1,4 @@
-"""The listening side of the calls between the fleet's processes."""
+"""Server for calls between the fleet's processes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from endivegw.peers.security import (
     PeerSecurity,
     PlainPeers,
-    guard_server,
+    install_authentication,
     server_codec,
     server_tls,
 )
@@ -23,17 +23,17 @@
 
 
 class _ClosingServer(Server):
-    """Close connections when it closes.
+    """Server that can close its open connections.
 
-    grpclib cancels the running calls and leaves their connections open. The
-    other side would wait for answers that never come, where a daemon stops
-    inside a process that lives on.
+    grpclib cancels running calls on close but leaves their connections open. If a
+    daemon stops inside a process that continues to run, its clients would wait for
+    replies that never arrive.
     """
 
     def __init__(self, handlers: Collection[Any], security: PeerSecurity) -> None:
         codec = server_codec(security)
         super().__init__(handlers, codec=codec, config=peer_configuration())
-        guard_server(self, security)
+        install_authentication(self, security)
         self._protocols: weakref.WeakSet[H2Protocol] = weakref.WeakSet()
 
     def _protocol_factory(self) -> H2Protocol:
@@ -42,9 +42,9 @@
         return protocol
 
     def close_connections(self) -> None:
-        """Close every connection that is open."""
+        """Close all open connections."""
         for protocol in tuple(self._protocols):
-            # Set once the connection is made.
+            # The attribute exists only after the connection was established.
             connection = getattr(protocol, "connection", None)
             if connection is not None:
                 connection.close()
@@ -58,10 +58,11 @@
     *,
     task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until cancelled; report the bound port when it listens.
+    """Serve until cancelled; report the bound port once the server listens.
 
-    :param port: 0 for any free one.
-    :param security: which calls are taken for the fleet's own.
+    :param handlers: the service implementations.
+    :param port: port to listen on, 0 for any free port.
+    :param security: how calls are authenticated.
     """
     server = _ClosingServer(handlers, security)
     await server.start(host, port, ssl=server_tls(security))
@@ -76,7 +77,7 @@
 
 
 def _bound_port(server: Server) -> int:
-    # grpclib has no public way to ask for the port that was chosen.
+    # grpclib has no public API that returns the port that the system chose.
     listener: Any = server._server
     port: int = listener.sockets[0].getsockname()[1]
     return port
--- a/src/endivegw/platform/store.py
+++ b/src/endivegw/platform/store.py
@@ -10,10 +10,10 @@
 
 from endivegw.results import Done, Reason, Refused, Unknown
 from endivegw.services.http_calls import (
-    Answer,
     HttpCaller,
-    failed_read,
-    failed_write,
+    HttpResponse,
+    read_failure,
+    write_failure,
 )
 from endivegw.services.row_store import (
     Changes,
@@ -22,7 +22,7 @@
     HistoryGone,
     NewRow,
     StoredRow,
-    StoreMoment,
+    StoreTimestamp,
 )
 
 __all__ = ["PlatformStore"]
@@ -50,7 +50,7 @@
         *,
         deletes: tuple[ExpectedRow, ...] = (),
         timeout_s: float,
-    ) -> Done[StoreMoment] | Conflict | Refused | Unknown:
+    ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown:
         """Write all or nothing."""
         document = {
             "ExpectedRevision": [
@@ -67,8 +67,8 @@
         answer = await self._caller.call(
             "POST", "/rows-tx", fields=_JSON, body=body, timeout_s=timeout_s
         )
-        if not isinstance(answer, Answer):
-            return failed_write(answer)
+        if not isinstance(answer, HttpResponse):
+            return write_failure(answer)
         if answer.status not in (200, 412):
             return _refused(answer)
         try:
@@ -84,7 +84,7 @@
     ) -> Done[Changes] | Refused | Unknown:
         """Return all rows of a partition; pages after the first may be newer."""
         rows: list[StoredRow] = []
-        moment: StoreMoment | None = None
+        timestamp: StoreTimestamp | None = None
         query: dict[str, str] = {"Table": table, "part": partition}
         query["Limit"] = str(_PAGE_ROWS)
         while True:
@@ -93,14 +93,14 @@
                 return content
             try:
                 page = _rows(content)
-                moment = moment or _moment(content)
+                timestamp = timestamp or _moment(content)
                 more = bool(content.get("MorePages"))
             except (ValueError, TypeError, KeyError) as error:
                 return Refused(Reason.ANSWER_LOST, f"not a listing: {error}")
             rows += page
             if not more or not page:
                 # Changes after the first page's moment come with the feed.
-                return Done(Changes(tuple(rows), moment))
+                return Done(Changes(tuple(rows), timestamp))
             query["From"] = page[-1].key + "\0"
 
     async def watch(
@@ -133,10 +133,10 @@
             "GET",
             f"{path}?{urlencode(query)}",
             timeout_s=timeout_s,
-            longest_s=_LONGEST_ANSWER_S,
+            max_total_s=_LONGEST_ANSWER_S,
         )
-        if not isinstance(answer, Answer):
-            return failed_read(answer)
+        if not isinstance(answer, HttpResponse):
+            return read_failure(answer)
         if answer.status == 410:
             return Refused(Reason.NOT_FOUND, "the history is no longer available")
         if answer.status != 200:
@@ -155,8 +155,8 @@
     return {"Table": row.table, "part": row.partition, "Key": row.key}
 
 
-def _moment(content: Mapping[str, Any]) -> StoreMoment:
-    return StoreMoment(int(content["ResourceVersion"]), int(content["NowMs"]))
+def _moment(content: Mapping[str, Any]) -> StoreTimestamp:
+    return StoreTimestamp(int(content["ResourceVersion"]), int(content["NowMs"]))
 
 
 def _rows(content: Mapping[str, Any]) -> tuple[StoredRow, ...]:
@@ -184,7 +184,7 @@
         return b""
 
 
-def _refused(answer: Answer) -> Refused:
+def _refused(answer: HttpResponse) -> Refused:
     reason = Reason.THROTTLED if answer.status == 429 else Reason.UNREACHABLE
     detail = f"the store answered {answer.status}"
     return Refused(reason, detail, answer.retry_after_s())
--- a/src/endivegw/process_start.py
+++ b/src/endivegw/process_start.py
@@ -1,13 +1,14 @@
-"""When this process started.
+"""Record the start time of this process.
 
-Imported before all else by the launchers. A router's predecessor on the same machine
-had ended by then, so that its successor need not count what the predecessor's limits
-grew while the successor loaded its libraries, a third of a second.
+The launchers import this module before any other. A router's predecessor on the same
+machine has ended by then, so that the successor need not account for growth of the
+predecessor's limits while the successor imports its libraries, which takes a third of
+a second.
 """
 
 import time
 
 __all__ = ["STARTED_S"]
 
-#: On the clock that goes on while the machine is suspended.
+#: Seconds on a clock that continues while the machine is suspended.
 STARTED_S = time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/endivegw/quarantine/manager.py
+++ b/src/endivegw/quarantine/manager.py
@@ -27,7 +27,7 @@
     NewRow,
     RowsPort,
     StoredRow,
-    StoreMoment,
+    StoreTimestamp,
 )
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue import quarantine as events
@@ -228,7 +228,7 @@
             self._apply_row(row)
         for fingerprint, known in list(self._rows.items()):
             # The row may have been written after the listing was read.
-            if fingerprint in listed or known.revision > changes.moment.revision:
+            if fingerprint in listed or known.revision > changes.timestamp.revision:
                 continue
             del self._rows[fingerprint]
             if fingerprint in self.ledger:
@@ -280,9 +280,9 @@
             match result:
                 case None:
                     return True
-                case Done(moment):
+                case Done(timestamp):
                     if fingerprint in self.ledger:
-                        row = _Row(moment.revision, record, self._clock())
+                        row = _Row(timestamp.revision, record, self._clock())
                         self._rows[fingerprint] = row
                     else:
                         self._rows.pop(fingerprint, None)
@@ -296,7 +296,7 @@
 
     async def _transact(
         self, record: RequestRecord
-    ) -> Done[StoreMoment] | Conflict | Refused | Unknown | None:
+    ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown | None:
         """Try to write or delete a row; None if there is nothing to do."""
         fingerprint = record.fingerprint
         row = self._rows.get(fingerprint)
--- a/src/endivegw/results.py
+++ b/src/endivegw/results.py
@@ -1,8 +1,8 @@
-"""Sentinel values with a reason, returned where a decision can go wrong.
+"""Result values of operations that may fail.
 
-Each call that leaves the process ends in :class:`Done`, :class:`Refused` or
-:class:`Unknown`. Callers take them apart with ``match``, so that forgetting a
-case shows in the type checker and not in production.
+Each call to another process returns :class:`Done`, :class:`Refused` or
+:class:`Unknown`. Callers distinguish them with ``match``, so that the type checker
+reports a missing case before it reaches production.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 
 class Reason(enum.Enum):
-    """Why something was refused or is unknown; the value is the stable code."""
+    """Reason of a refusal or an unknown outcome; the value is the stable code."""
 
-    # What a caller sent.
+    # Errors in a caller's request.
     BAD_REQUEST = "bad_request"
     BAD_KEY = "invalid_api_key"
     BODY_TOO_LARGE = "body_too_large"
@@ -34,12 +34,12 @@
     BUDGET_UNAVAILABLE = "budget_unavailable"
     BUDGET_UNKNOWN = "budget_not_found"
     GRANT_SEALED = "grant_sealed"
-    # Load and time.
+    # Load and deadlines.
     OVERLOADED = "overloaded"
     DEADLINE = "deadline_exceeded"
     NO_TARGET = "no_target"
     DRAINING = "draining"
-    # Configuration, membership, identity of requests.
+    # Configuration, membership and identity of requests.
     STALE_CONFIGURATION = "stale_configuration"
     NOT_READY = "not_ready"
     WRONG_INSTANCE = "wrong_instance"
@@ -61,18 +61,19 @@
 
 @frozen
 class Done(Generic[T]):
-    """Hold the value of a call that took effect and was answered."""
+    """Hold the value of a call that took effect and returned a response."""
 
     value: T
 
 
 @frozen
 class Refused:
-    """Say that nothing took effect, and why.
+    """Report that a call had no effect, and why.
 
-    :param reason: the stable reason.
-    :param detail: a sentence for people; never parsed.
-    :param retry_after_s: when a new try may succeed, None where none would.
+    :param reason: stable code of the reason.
+    :param detail: human-readable explanation; never parsed.
+    :param retry_after_s: delay after which a retry may succeed, None if no retry
+        would succeed or no delay is known.
     """
 
     reason: Reason
@@ -82,9 +83,9 @@
 
 @frozen
 class Unknown:
-    """Say that the call may or may not have taken effect, and why.
+    """Report that a call may or may not have taken effect, and why.
 
-    The caller resolves it by reading back an id which it chose before the
+    The caller resolves the outcome by reading back an id that it chose before the
     call.
     """
 
--- a/src/endivegw/services/__init__.py
+++ b/src/endivegw/services/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services: typed ports, and one adapter module for each."""
+"""Clients of the platform's services: typed ports with one adapter module each."""
 
 from endivegw.services.ports import (
     MAX_TRANSACTION_ITEMS,
--- a/src/endivegw/services/circuit.py
+++ b/src/endivegw/services/circuit.py
@@ -1,8 +1,9 @@
-"""Decide whether a call to a service that fails may be tried.
+"""Circuit breaker for calls to an external service.
 
-A service that is away costs each caller its whole timeout, and when it comes
-back it is met by the queued calls of 1,020 daemons at once. After a few
-failures in a row calls are refused at once, and one call at a time probes.
+An unavailable service costs each caller the full timeout, and on recovery it
+would receive the queued calls of 1,020 daemons at once. After a few consecutive
+failures the breaker therefore rejects calls immediately and lets one call at a
+time through as a probe.
 """
 
 from __future__ import annotations
@@ -13,49 +14,53 @@
 
 __all__ = [
     "Admitted",
-    "Circuit",
-    "CircuitSettings",
+    "CircuitBreaker",
+    "CircuitBreakerSettings",
     "Closed",
-    "Held",
+    "Rejected",
     "Open",
     "Probing",
 ]
 
 
 @frozen
-class CircuitSettings:
-    """Hold when a circuit opens and how often it probes.
-
-    :param failures_to_open: consecutive failures. One lost packet must not
-        cut a daemon off; at two seconds a call, five hold callers up for ten
-        seconds at most.
-    :param first_probe_s: wait before the first probe. Short, because most
-        failures are a restart of one machine of the service.
-    :param longest_probe_s: the wait doubles up to this. At 1,020 daemons one
-        probe each 4 s makes 255 calls a second, an eighth of what the table
-        bears; longer would delay configuration beyond its 7 s after an outage.
-    :param probe_timeout_s: a probe that has not ended by then counts as lost,
-        so that a forgotten one leaves no circuit open for good.
+class CircuitBreakerSettings:
+    """Configure when a circuit opens and how often it probes.
+
+    :param failures_to_open: consecutive failures that open the circuit. A single
+        lost packet must not disconnect a daemon from the service; with calls of
+        two seconds, five failures delay callers by at most ten seconds.
+    :param first_probe_s: delay before the first probe. It is short because most
+        failures are restarts of a single machine of the service.
+    :param max_probe_wait_s: upper limit of the delay, which doubles with each
+        failed probe. One probe per 4 s from each of 1,020 daemons makes 255 calls
+        per second, an eighth of the table's capacity; a longer delay would make
+        configuration updates miss their limit of 7 s after an outage.
+    :param probe_timeout_s: time after which an unfinished probe counts as lost,
+        so that an abandoned probe cannot keep the circuit open indefinitely.
     """
 
     failures_to_open: int = 5
     first_probe_s: float = 0.5
-    longest_probe_s: float = 4.0
+    max_probe_wait_s: float = 4.0
     probe_timeout_s: float = 10.0
 
 
 @frozen
 class Closed:
-    """Calls go through; so many in a row have failed."""
+    """Calls are admitted.
+
+    :param failures: consecutive failures so far.
+    """
 
     failures: int = 0
 
 
 @frozen
 class Open:
-    """Calls are refused until a probe is due.
+    """Calls are rejected until a probe is due.
 
-    :param probes: how many probes have failed since it opened.
+    :param probes: number of probes that have failed since the circuit opened.
     """
 
     probe_at_s: float
@@ -64,7 +69,10 @@
 
 @frozen
 class Probing:
-    """One call is on its way to find out; all others are refused."""
+    """One call is in flight as a probe; all others are rejected.
+
+    :param probes: number of probes that have failed since the circuit opened.
+    """
 
     since_s: float
     probes: int
@@ -77,52 +85,52 @@
 class Admitted:
     """Let a call through.
 
-    :param probe: whether the outcome of this call decides for all.
+    :param probe: whether the outcome of this call closes or reopens the circuit.
     """
 
     probe: bool = False
 
 
 @frozen
-class Held:
-    """Refuse a call at once; one may go through after ``retry_after_s``."""
+class Rejected:
+    """Reject a call immediately; a probe is due after ``retry_after_s``."""
 
     retry_after_s: float
 
 
 @define
-class Circuit:
-    """Keep the state of one service as one process sees it."""
+class CircuitBreaker:
+    """Track the availability of one service as observed by one process."""
 
-    settings: CircuitSettings = CircuitSettings()
+    settings: CircuitBreakerSettings = CircuitBreakerSettings()
     state: State = Closed()
     _random: random.Random = field(factory=lambda: random.Random(), repr=False)
 
-    def admit(self, now_s: float) -> Admitted | Held:
-        """Decide on one call."""
+    def admit(self, now_s: float) -> Admitted | Rejected:
+        """Admit or reject one call."""
         match self.state:
             case Closed():
                 return Admitted()
             case Open(probe_at_s, probes):
                 if now_s < probe_at_s:
-                    return Held(probe_at_s - now_s)
+                    return Rejected(probe_at_s - now_s)
                 self.state = Probing(now_s, probes)
                 return Admitted(probe=True)
             case Probing(since_s, probes):
                 lost_at_s = since_s + self.settings.probe_timeout_s
                 if now_s < lost_at_s:
-                    return Held(min(lost_at_s - now_s, self.settings.first_probe_s))
+                    return Rejected(min(lost_at_s - now_s, self.settings.first_probe_s))
                 self.state = Probing(now_s, probes + 1)
                 return Admitted(probe=True)
 
-    def succeeded(self, now_s: float) -> bool:
-        """Note a call that the service answered; return whether this closes it."""
+    def record_success(self, now_s: float) -> bool:
+        """Record an answered call; return whether it closes the circuit."""
         was_closed = isinstance(self.state, Closed)
         self.state = Closed()
         return not was_closed
 
-    def failed(self, now_s: float) -> bool:
-        """Note a call without an answer; return whether this opens it."""
+    def record_failure(self, now_s: float) -> bool:
+        """Record an unanswered call; return whether it opens the circuit."""
         match self.state:
             case Closed(failures) if failures + 1 < self.settings.failures_to_open:
                 self.state = Closed(failures + 1)
@@ -131,22 +139,22 @@
                 self.state = Open(now_s + self._wait_s(0), 0)
                 return True
             case Open():
-                # A call that began before the circuit opened; it says no more
-                # than those that opened it.
+                # The call started before the circuit opened, so its failure adds
+                # no information.
                 return False
             case Probing(_, probes):
                 self.state = Open(now_s + self._wait_s(probes + 1), probes + 1)
                 return False
 
-    def withdrawn(self, now_s: float) -> None:
-        """Note that an admitted call was not made after all."""
+    def record_withdrawal(self, now_s: float) -> None:
+        """Record that an admitted call was cancelled or never made."""
         match self.state:
             case Probing(_, probes):
                 self.state = Open(now_s, probes)
 
     def _wait_s(self, probes: int) -> float:
-        longest_s = self.settings.longest_probe_s
-        wait_s = min(longest_s, self.settings.first_probe_s * 2.0 ** min(probes, 16))
-        # All daemons see an outage begin at the same moment; without jitter
-        # their probes would arrive together ever after.
+        max_wait_s = self.settings.max_probe_wait_s
+        wait_s = min(max_wait_s, self.settings.first_probe_s * 2.0 ** min(probes, 16))
+        # All daemons detect an outage at the same time. Without jitter their
+        # probes would stay synchronized.
         return wait_s * self._random.uniform(0.5, 1.0)
--- a/src/endivegw/services/dynamo_table.py
+++ b/src/endivegw/services/dynamo_table.py
@@ -1,4 +1,4 @@
-"""The table service over the DynamoDB low-level JSON interface."""
+"""Table service client for the DynamoDB low-level JSON API."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     parse_row,
 )
 from endivegw.services.http_calls import (
-    Answer,
-    CallFailure,
+    CallError,
     HttpCaller,
-    Lost,
+    HttpResponse,
     NotSent,
-    failed_read,
-    failed_write,
+    ResponseLost,
+    read_failure,
+    write_failure,
 )
 from endivegw.services.ports import (
     MAX_TRANSACTION_ITEMS,
@@ -38,11 +38,11 @@
 _INTERFACE = "DynamoDB_20120810"
 _CONTENT_TYPE = "application/x-amz-json-1.0"
 
-#: Answers to a transaction that say for certain that nothing was written.
+#: Error types of a transaction which guarantee that nothing was written.
 _THROTTLED = ("ProvisionedThroughputExceeded", "Throttling", "RequestLimitExceeded")
 _CONFLICTS = ("TransactionCanceledException", "TransactionConflictException")
-#: What parsing raises on an answer that is not the table's, such as the page
-#: of a proxy in between.
+#: Raised when parsing a response that the table service did not produce, such as
+#: the error page of an intermediate proxy.
 _MALFORMED = (AttributeError, KeyError, TypeError, ValueError)
 
 _CONDITION_FAILED = "ConditionalCheckFailed"
@@ -51,9 +51,9 @@
 class DynamoTable:
     """Implement the table port over HTTP.
 
-    :param url: the service's endpoint.
-    :param table: the table's name.
-    :param credentials: None where the service asks for no signature.
+    :param url: endpoint of the service.
+    :param table: name of the table.
+    :param credentials: None if the service requires no signature.
     """
 
     def __init__(
@@ -71,21 +71,24 @@
     async def transact(
         self, transaction: Transaction, *, timeout_s: float
     ) -> Result[None]:
-        """Write all or nothing; see :class:`endivegw.services.TablePort`."""
+        """Apply all writes or none; see :class:`endivegw.services.TablePort`."""
         if not 0 < len(transaction.writes) <= MAX_TRANSACTION_ITEMS:
-            detail = f"a transaction holds 1 to {MAX_TRANSACTION_ITEMS} items"
+            detail = (
+                f"transaction has {len(transaction.writes)} items,"
+                f" allowed are 1 to {MAX_TRANSACTION_ITEMS}"
+            )
             return Refused(Reason.BAD_REQUEST, detail)
         items = [encode_write(self._table, write) for write in transaction.writes]
-        answer = await self._call(
+        response = await self._call(
             "TransactWriteItems", {"TransactItems": items}, timeout_s
         )
-        match answer:
-            case Answer(status=200):
+        match response:
+            case HttpResponse(status=200):
                 return Done(None)
-            case Answer():
-                return _refused_write(answer)
-            case NotSent() | Lost():
-                return failed_write(answer)
+            case HttpResponse():
+                return _refused_write(response)
+            case NotSent() | ResponseLost():
+                return write_failure(response)
 
     async def read(
         self, keys: tuple[RowKey, ...], *, timeout_s: float
@@ -93,11 +96,11 @@
         """Return the rows in the order of the keys."""
         unique = tuple(dict.fromkeys(keys))
         found: dict[RowKey, Row] = {}
-        end_s = anyio.current_time() + timeout_s
+        deadline_s = anyio.current_time() + timeout_s
         try:
             for start in range(0, len(unique), MAX_TRANSACTION_ITEMS):
                 chunk = unique[start : start + MAX_TRANSACTION_ITEMS]
-                refused = await self._read_chunk(chunk, found, end_s)
+                refused = await self._read_chunk(chunk, found, deadline_s)
                 if refused is not None:
                     return refused
         except _MALFORMED as error:
@@ -128,48 +131,51 @@
         }
         if after is not None:
             request["ExclusiveStartKey"] = encode_key(RowKey(partition, after))
-        answer = await self._call("Query", request, timeout_s)
-        match answer:
-            case Answer(status=200, body=body):
+        response = await self._call("Query", request, timeout_s)
+        match response:
+            case HttpResponse(status=200, body=body):
                 return _parse_page(body)
-            case Answer():
-                return _refused_read(answer)
-            case NotSent() | Lost():
-                return failed_read(answer)
+            case HttpResponse():
+                return _refused_read(response)
+            case NotSent() | ResponseLost():
+                return read_failure(response)
 
     async def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         await self._caller.close()
 
     async def _read_chunk(
-        self, keys: tuple[RowKey, ...], found: dict[RowKey, Row], end_s: float
+        self, keys: tuple[RowKey, ...], found: dict[RowKey, Row], deadline_s: float
     ) -> Refused | None:
-        wanted = [encode_key(key) for key in keys]
-        # The service may leave some keys for a further call when it is busy.
-        # Each round takes in at least one row, or the read is given up.
-        while wanted:
+        pending = [encode_key(key) for key in keys]
+        # A busy service may leave some keys unprocessed for a further call. Each
+        # call must process at least one key, otherwise the read is aborted.
+        while pending:
             request = {
-                "RequestItems": {self._table: {"Keys": wanted, "ConsistentRead": True}}
+                "RequestItems": {self._table: {"Keys": pending, "ConsistentRead": True}}
             }
-            left_s = max(0.0, end_s - anyio.current_time())
-            answer = await self._call("BatchGetItem", request, left_s)
-            if not isinstance(answer, Answer):
-                return failed_read(answer)
-            if answer.status != 200:
-                return _refused_read(answer)
-            reply = json.loads(answer.body)
+            remaining_s = max(0.0, deadline_s - anyio.current_time())
+            response = await self._call("BatchGetItem", request, remaining_s)
+            if not isinstance(response, HttpResponse):
+                return read_failure(response)
+            if response.status != 200:
+                return _refused_read(response)
+            reply = json.loads(response.body)
             items = reply.get("Responses", {}).get(self._table, [])
             for item in items:
                 found[parse_key(item)] = parse_row(item)
-            left = reply.get("UnprocessedKeys", {}).get(self._table, {})
-            if left and len(left["Keys"]) >= len(wanted):
-                return Refused(Reason.THROTTLED, "the table processed no key")
-            wanted = left.get("Keys", [])
+            unprocessed = reply.get("UnprocessedKeys", {}).get(self._table, {})
+            if unprocessed and len(unprocessed["Keys"]) >= len(pending):
+                return Refused(
+                    Reason.THROTTLED,
+                    f"table processed none of {len(pending)} requested keys",
+                )
+            pending = unprocessed.get("Keys", [])
         return None
 
     async def _call(
         self, action: str, request: Mapping[str, Any], timeout_s: float
-    ) -> Answer | CallFailure:
+    ) -> HttpResponse | CallError:
         body = json.dumps(request, separators=(",", ":")).encode()
         fields = {
             "content-type": _CONTENT_TYPE,
@@ -201,13 +207,13 @@
 
 
 def _malformed(error: Exception) -> Refused:
-    return Refused(Reason.UNREACHABLE, f"the table's answer is malformed: {error!r}")
+    return Refused(Reason.UNREACHABLE, f"malformed response from the table: {error!r}")
 
 
-def _error(answer: Answer) -> tuple[str, str, tuple[str, ...]]:
-    """Return the kind of an error, its message, and the codes of its items."""
+def _error(response: HttpResponse) -> tuple[str, str, tuple[str, ...]]:
+    """Return the type and message of an error, and the codes of its items."""
     try:
-        reply = json.loads(answer.body)
+        reply = json.loads(response.body)
         kind = str(reply.get("__type", "")).rpartition("#")[2]
         message = str(reply.get("message") or reply.get("Message") or "")
         reasons = reply.get("CancellationReasons", ())
@@ -217,26 +223,26 @@
     return kind, message, codes
 
 
-def _refused_read(answer: Answer) -> Refused:
-    kind, message, _ = _error(answer)
-    detail = f"HTTP {answer.status} {kind} {message}".rstrip()
-    if kind.startswith(_THROTTLED) or answer.status == 429:
-        return Refused(Reason.THROTTLED, detail, answer.retry_after_s())
-    if answer.status >= 500:
-        return Refused(Reason.UNREACHABLE, detail, answer.retry_after_s())
+def _refused_read(response: HttpResponse) -> Refused:
+    kind, message, _ = _error(response)
+    detail = f"HTTP {response.status} {kind} {message}".rstrip()
+    if kind.startswith(_THROTTLED) or response.status == 429:
+        return Refused(Reason.THROTTLED, detail, response.retry_after_s())
+    if response.status >= 500:
+        return Refused(Reason.UNREACHABLE, detail, response.retry_after_s())
     return Refused(Reason.BAD_REQUEST, detail)
 
 
-def _refused_write(answer: Answer) -> Refused | Unknown:
-    kind, message, codes = _error(answer)
-    detail = f"HTTP {answer.status} {kind} {message}".rstrip()
-    # The service says itself that an internal error may come after the write.
-    if answer.status >= 500:
+def _refused_write(response: HttpResponse) -> Refused | Unknown:
+    kind, message, codes = _error(response)
+    detail = f"HTTP {response.status} {kind} {message}".rstrip()
+    # The service documents that an internal error may occur after the write.
+    if response.status >= 500:
         return Unknown(Reason.ANSWER_LOST, detail)
     if kind in _CONFLICTS:
         if codes and _CONDITION_FAILED not in codes:
-            # Another transaction held a row for a moment; the conditions may
-            # still hold, so this is a reason to try again and not a conflict.
+            # Another transaction was using a row. The conditions may still hold,
+            # so the transaction can be retried and is not a conflict.
             return Refused(Reason.THROTTLED, detail)
         return Refused(Reason.CONFLICT, detail)
-    return _refused_read(answer)
+    return _refused_read(response)
--- a/src/endivegw/services/guarded.py
+++ b/src/endivegw/services/guarded.py
@@ -1,4 +1,4 @@
-"""The table and the object store behind timeouts, retries and a circuit."""
+"""Platform service clients with timeouts, retries, circuit breakers and rate limits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from endivegw.results import Reason, Refused, Result
-from endivegw.services.circuit import Circuit
+from endivegw.services.circuit import CircuitBreaker
 from endivegw.services.guard import Guard
 from endivegw.services.ports import (
     ListedVm,
@@ -23,7 +23,7 @@
     VmListPort,
     WeightStorePort,
 )
-from endivegw.services.rate_cap import RateCap, TableShares
+from endivegw.services.rate_cap import RateLimiter, TableShares
 
 __all__ = ["GuardedObjects", "GuardedTable", "GuardedVmList", "GuardedWeightStore"]
 
@@ -31,68 +31,72 @@
 
 
 @define
-class _Flight:
-    """Hold one read on its way, which others with the same question share."""
+class _PendingRead:
+    """Hold a read in progress, whose result equal reads share."""
 
     done: anyio.Event = field(factory=anyio.Event)
     result: Result[Any] | None = None
 
 
-class _Coalescer:
-    """Let equal reads that overlap share one call.
+class _ReadCoalescer:
+    """Let concurrent equal reads share one call.
 
-    Many requests of one account miss the same row at the same moment. A read
-    that begins after a write of this process has ended must see that write,
-    so it joins no read from before: each write starts a new generation.
+    Many requests of one account may miss the same row at the same time. A read
+    that starts after a write of this process has ended must see that write, so it
+    must not join a read that started before: each write starts a new generation.
     """
 
     def __init__(self) -> None:
-        self._flights: dict[Hashable, _Flight] = {}
+        self._pending: dict[Hashable, _PendingRead] = {}
         self._generation = 0
 
-    def forget(self) -> None:
-        """Let later reads join none that has begun by now."""
+    def start_generation(self) -> None:
+        """Prevent later reads from joining the reads that are in progress."""
         self._generation += 1
 
     async def share(
         self,
-        question: Hashable,
-        ask: Callable[[], Awaitable[Result[T]]],
+        query: Hashable,
+        fetch: Callable[[], Awaitable[Result[T]]],
         *,
         timeout_s: float,
     ) -> Result[T]:
-        """Return the answer of a read on its way, or ask."""
-        key = (self._generation, question)
-        flight = self._flights.get(key)
-        if flight is None:
-            return await self._lead(key, ask)
+        """Return the result of an equal read in progress, or start a new one."""
+        key = (self._generation, query)
+        pending = self._pending.get(key)
+        if pending is None:
+            return await self._fetch_shared(key, fetch)
         with anyio.move_on_after(timeout_s):
-            await flight.done.wait()
-            if flight.result is not None:
-                return flight.result
-            # The asker was cancelled and took no answer home.
-            return await ask()
-        return Refused(Reason.TIMEOUT, "an equal read gave no answer in time")
-
-    async def _lead(
-        self, key: Hashable, ask: Callable[[], Awaitable[Result[T]]]
+            await pending.done.wait()
+            if pending.result is not None:
+                return pending.result
+            # The task that made the call was cancelled before it had a result.
+            return await fetch()
+        return Refused(
+            Reason.TIMEOUT, f"no response to an equal read within {timeout_s:g} s"
+        )
+
+    async def _fetch_shared(
+        self, key: Hashable, fetch: Callable[[], Awaitable[Result[T]]]
     ) -> Result[T]:
-        flight: _Flight = _Flight()
-        self._flights[key] = flight
+        pending: _PendingRead = _PendingRead()
+        self._pending[key] = pending
         try:
-            result = await ask()
-            flight.result = result
+            result = await fetch()
+            pending.result = result
             return result
         finally:
-            self._flights.pop(key, None)
-            flight.done.set()
+            self._pending.pop(key, None)
+            pending.done.set()
 
 
 class GuardedTable:
     """Guard a table; see :class:`endivegw.services.guard.Guard`.
 
-    Reads and writes have one circuit, since one service answers both, and
-    each its own rate cap.
+    Reads and writes share one circuit breaker, because one service handles both,
+    and have separate rate limits.
+
+    :param daemons: number of daemons that share the table's capacity.
     """
 
     def __init__(
@@ -104,43 +108,45 @@
     ) -> None:
         source = random_source or random.Random()
         shares = TableShares.of_fleet(daemons)
-        self.circuit = Circuit(random=source)
+        self.circuit = CircuitBreaker(random=source)
         self._reads = Guard(
-            "table", self.circuit, RateCap(shares.reads_per_s), random=source
+            "table", self.circuit, RateLimiter(shares.reads_per_s), random=source
         )
         self._writes = Guard(
-            "table", self.circuit, RateCap(shares.writes_per_s), random=source
+            "table", self.circuit, RateLimiter(shares.writes_per_s), random=source
         )
         self._table = table
-        self._coalescer = _Coalescer()
+        self._coalescer = _ReadCoalescer()
 
     async def transact(
         self, transaction: Transaction, *, timeout_s: float
     ) -> Result[None]:
-        """Write all or nothing; never again after an unknown outcome."""
-        self._coalescer.forget()
+        """Apply all writes or none, without a retry after an unknown outcome."""
+        self._coalescer.start_generation()
         try:
             return await self._writes.call(
-                lambda left_s: self._table.transact(transaction, timeout_s=left_s),
+                lambda remaining_s: self._table.transact(
+                    transaction, timeout_s=remaining_s
+                ),
                 timeout_s=timeout_s,
                 changes=True,
             )
         finally:
-            self._coalescer.forget()
+            self._coalescer.start_generation()
 
     async def read(
         self, keys: tuple[RowKey, ...], *, timeout_s: float
     ) -> Result[tuple[Row | None, ...]]:
         """Return the rows in the order of the keys."""
 
-        async def ask() -> Result[tuple[Row | None, ...]]:
+        async def fetch() -> Result[tuple[Row | None, ...]]:
             return await self._reads.call(
-                lambda left_s: self._table.read(keys, timeout_s=left_s),
+                lambda remaining_s: self._table.read(keys, timeout_s=remaining_s),
                 timeout_s=timeout_s,
                 changes=False,
             )
 
-        return await self._coalescer.share(keys, ask, timeout_s=timeout_s)
+        return await self._coalescer.share(keys, fetch, timeout_s=timeout_s)
 
     async def scan(
         self,
@@ -153,43 +159,43 @@
     ) -> Result[Page]:
         """Return one page of a partition."""
 
-        async def ask() -> Result[Page]:
+        async def fetch() -> Result[Page]:
             return await self._reads.call(
-                lambda left_s: self._table.scan(
+                lambda remaining_s: self._table.scan(
                     partition,
                     prefix=prefix,
                     after=after,
                     limit=limit,
-                    timeout_s=left_s,
+                    timeout_s=remaining_s,
                 ),
                 timeout_s=timeout_s,
                 changes=False,
             )
 
-        question = (partition, prefix, after, limit)
-        return await self._coalescer.share(question, ask, timeout_s=timeout_s)
+        query = (partition, prefix, after, limit)
+        return await self._coalescer.share(query, fetch, timeout_s=timeout_s)
 
 
 class GuardedObjects:
-    """Guard an object store in the same way."""
+    """Guard an object store; see :class:`endivegw.services.guard.Guard`."""
 
-    #: Objects are read and written for snapshots and exports only; a daemon
-    #: that wants more than one a second is out of order.
+    #: Objects are used for snapshots and exports only; a daemon that makes more
+    #: than one call per second is faulty.
     CALLS_PER_S = 1.0
 
     def __init__(
         self, objects: ObjectStorePort, *, random_source: random.Random | None = None
     ) -> None:
         source = random_source or random.Random()
-        self.circuit = Circuit(random=source)
-        cap = RateCap(self.CALLS_PER_S)
-        self._guard = Guard("object store", self.circuit, cap, random=source)
+        self.circuit = CircuitBreaker(random=source)
+        rate_limiter = RateLimiter(self.CALLS_PER_S)
+        self._guard = Guard("object store", self.circuit, rate_limiter, random=source)
         self._objects = objects
 
     async def get(self, name: str, *, timeout_s: float) -> Result[StoredObject]:
-        """Return the object."""
+        """Return the named object."""
         return await self._guard.call(
-            lambda left_s: self._objects.get(name, timeout_s=left_s),
+            lambda remaining_s: self._objects.get(name, timeout_s=remaining_s),
             timeout_s=timeout_s,
             changes=False,
         )
@@ -197,10 +203,10 @@
     async def put(
         self, name: str, body: bytes, *, expected_tag: str | None, timeout_s: float
     ) -> Result[str]:
-        """Write and return the new tag; never again after an unknown outcome."""
+        """Write and return the new tag, without a retry after an unknown outcome."""
         return await self._guard.call(
-            lambda left_s: self._objects.put(
-                name, body, expected_tag=expected_tag, timeout_s=left_s
+            lambda remaining_s: self._objects.put(
+                name, body, expected_tag=expected_tag, timeout_s=remaining_s
             ),
             timeout_s=timeout_s,
             changes=True,
@@ -208,57 +214,57 @@
 
 
 class GuardedVmList:
-    """Guard the VM list in the same way; equal readings share one call."""
+    """Guard the VM list; concurrent reads share one call."""
 
-    #: The list is read each half a minute, and more often only at a start.
+    #: The list is read every 30 s, and more often only while a daemon starts.
     CALLS_PER_S = 1.0
 
     def __init__(
         self, vms: VmListPort, *, random_source: random.Random | None = None
     ) -> None:
         source = random_source or random.Random()
-        self.circuit = Circuit(random=source)
-        cap = RateCap(self.CALLS_PER_S)
-        self._guard = Guard("VM list", self.circuit, cap, random=source)
+        self.circuit = CircuitBreaker(random=source)
+        rate_limiter = RateLimiter(self.CALLS_PER_S)
+        self._guard = Guard("VM list", self.circuit, rate_limiter, random=source)
         self._vms = vms
-        self._coalescer = _Coalescer()
+        self._coalescer = _ReadCoalescer()
 
     async def list_vms(self, *, timeout_s: float) -> Result[tuple[ListedVm, ...]]:
-        """Return the machines that the platform knows of."""
+        """Return the virtual machines that the platform lists."""
 
-        async def ask() -> Result[tuple[ListedVm, ...]]:
+        async def fetch() -> Result[tuple[ListedVm, ...]]:
             return await self._guard.call(
-                lambda left_s: self._vms.list_vms(timeout_s=left_s),
+                lambda remaining_s: self._vms.list_vms(timeout_s=remaining_s),
                 timeout_s=timeout_s,
                 changes=False,
             )
 
-        return await self._coalescer.share("list", ask, timeout_s=timeout_s)
+        return await self._coalescer.share("list", fetch, timeout_s=timeout_s)
 
 
 class GuardedWeightStore:
-    """Guard the weight store in the same way.
+    """Guard the weight store.
 
-    The store limits its rate itself; a refusal that says when to come back is
-    tried again then, where the caller has the time.
+    The store itself limits the rate of calls. A refusal that states when to retry
+    is retried at that time if the caller's timeout permits.
     """
 
-    #: A sidecar asks before a load, of which there is one at a time.
+    #: A sidecar makes one call before each load, and loads one at a time.
     CALLS_PER_S = 1.0
 
     def __init__(
         self, weights: WeightStorePort, *, random_source: random.Random | None = None
     ) -> None:
         source = random_source or random.Random()
-        self.circuit = Circuit(random=source)
-        cap = RateCap(self.CALLS_PER_S)
-        self._guard = Guard("weight store", self.circuit, cap, random=source)
+        self.circuit = CircuitBreaker(random=source)
+        rate_limiter = RateLimiter(self.CALLS_PER_S)
+        self._guard = Guard("weight store", self.circuit, rate_limiter, random=source)
         self._weights = weights
 
     async def size_bytes(self, name: str, *, timeout_s: float) -> Result[int]:
-        """Return how large the weights of a model or adapter are."""
+        """Return the size of the weights of a model or adapter."""
         return await self._guard.call(
-            lambda left_s: self._weights.size_bytes(name, timeout_s=left_s),
+            lambda remaining_s: self._weights.size_bytes(name, timeout_s=remaining_s),
             timeout_s=timeout_s,
             changes=False,
         )
--- a/src/endivegw/services/http_calls.py
+++ b/src/endivegw/services/http_calls.py
@@ -1,4 +1,4 @@
-"""One bounded HTTP call, told apart by how far it got."""
+"""HTTP calls with bounded time and size, whose errors state how far the call got."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 from endivegw.results import Reason, Refused, Unknown
 
 __all__ = [
-    "Answer",
-    "CallFailure",
+    "CallError",
     "HttpCaller",
-    "Lost",
+    "HttpResponse",
     "NotSent",
-    "failed_read",
-    "failed_write",
+    "ResponseLost",
+    "read_failure",
+    "write_failure",
 ]
 
-#: Connections kept by one daemon to one service: a daemon has a handful of
-#: calls in flight at most, and 1,020 daemons must not exhaust the service's
-#: sockets.
+#: Maximum number of connections from one daemon to one service. A daemon has only
+#: a few calls in flight, and 1,020 daemons must not exhaust the service's sockets.
 MAX_CONNECTIONS = 8
+#: How long an idle connection stays open.
 KEEPALIVE_S = 30.0
 
-#: The largest answer that is read; one page of a listing stays below 1 MB.
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+#: Maximum size of a response body; one page of a listing stays below 1 MB.
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 @frozen
-class Answer:
-    """Hold a whole answer; names of header fields are in lower case."""
+class HttpResponse:
+    """Hold a complete response; names of header fields are in lower case."""
 
     status: int
     fields: Mapping[str, str]
     body: bytes
 
     def retry_after_s(self) -> float | None:
-        """Return what the service asks to wait, None where it does not say."""
+        """Return the delay that the service requests, or None if it requests none."""
         try:
             return float(self.fields["retry-after"])
         except (KeyError, ValueError):
@@ -49,82 +49,83 @@
 
 @frozen
 class NotSent:
-    """Say that not one byte of the request left: nothing can have happened."""
+    """Report that no byte of the request was sent, so it cannot have had an effect."""
 
     reason: Reason
     detail: str
 
 
 @frozen
-class Lost:
-    """Say that the request left and no whole answer came back."""
+class ResponseLost:
+    """Report that the request was sent and no complete response was received."""
 
     reason: Reason
     detail: str
 
 
-CallFailure = NotSent | Lost
+CallError = NotSent | ResponseLost
 
 
-def failed_read(failure: CallFailure) -> Refused:
-    """Turn a failure of a call that changes nothing."""
+def read_failure(failure: CallError) -> Refused:
+    """Convert the failure of a call that modifies no data to a result."""
     return Refused(failure.reason, failure.detail)
 
 
-def failed_write(failure: CallFailure) -> Refused | Unknown:
-    """Turn a failure of a call that changes something.
+def write_failure(failure: CallError) -> Refused | Unknown:
+    """Convert the failure of a call that may modify data to a result.
 
-    A write whose request left may have taken effect although the caller saw
-    a timeout. Calling that "refused" would let the caller repeat it, and a
-    top-up would be added twice.
+    A write that was sent may have taken effect even though the caller saw a
+    timeout. If it were reported as refused, the caller would retry it, and a
+    budget's top-up would be added twice.
     """
     match failure:
         case NotSent(reason, detail):
             return Refused(reason, detail)
-        case Lost(reason, detail):
+        case ResponseLost(reason, detail):
             return Unknown(reason, detail)
 
 
 class _Progress:
-    """Record how far a call got, and put its end off while its answer comes.
+    """Record how far a call got, and extend its deadline while the response arrives.
 
-    :ivar sent: whether the request began to leave this process.
-    :ivar answer_begun: whether a piece of the answer's body came.
+    :ivar sent: whether sending of the request has started.
+    :ivar response_started: whether a chunk of the response body was received.
     """
 
     def __init__(self) -> None:
         self.sent = False
-        self.answer_begun = False
+        self.response_started = False
         self._scope: anyio.CancelScope | None = None
-        self._silence_s = 0.0
-        self._ends_s = 0.0
+        self._max_gap_s = 0.0
+        self._final_deadline_s = 0.0
 
     def extend_deadline(
-        self, scope: anyio.CancelScope, silence_s: float, longest_s: float
+        self, scope: anyio.CancelScope, max_gap_s: float, max_total_s: float
     ) -> None:
-        """Let each piece put the scope's deadline off, up to a bound."""
+        """Let each chunk extend the scope's deadline, up to ``max_total_s`` in all."""
         self._scope = scope
-        self._silence_s = silence_s
-        self._ends_s = anyio.current_time() + longest_s
+        self._max_gap_s = max_gap_s
+        self._final_deadline_s = anyio.current_time() + max_total_s
 
-    def note_piece(self) -> None:
-        """Take in that a piece of the answer came."""
-        self.answer_begun = True
+    def record_chunk(self) -> None:
+        """Record a chunk of the response body and extend the deadline."""
+        self.response_started = True
         if self._scope is not None:
-            next_s = anyio.current_time() + self._silence_s
-            self._scope.deadline = min(next_s, self._ends_s)
+            next_s = anyio.current_time() + self._max_gap_s
+            self._scope.deadline = min(next_s, self._final_deadline_s)
 
-    async def note(self, event: str, info: Mapping[str, Any]) -> None:
+    async def trace(self, event: str, info: Mapping[str, Any]) -> None:
+        """Handle a trace event of httpcore; detects the start of sending."""
         if event.endswith("send_request_headers.started"):
             self.sent = True
 
 
 class HttpCaller:
-    """Call one service through a pool of kept connections.
+    """Call one service through a pool of persistent connections.
 
-    :param base_url: scheme, host, port and the path below which names lie.
-    :param client_name: sent as user agent, so that the service's operators
-        can tell the callers apart.
+    :param base_url: scheme, host, port and path prefix of the service.
+    :param client_name: sent as the user agent, so that the service's operators can
+        distinguish the callers.
     """
 
     def __init__(self, base_url: str, *, client_name: str = "endivegw") -> None:
@@ -137,7 +138,7 @@
 
     @property
     def base_url(self) -> str:
-        """Return the URL without a slash at its end."""
+        """Return the base URL without a trailing slash."""
         return self._base_url
 
     async def call(
@@ -148,29 +149,30 @@
         fields: Mapping[str, str] | None = None,
         body: bytes = b"",
         timeout_s: float,
-        longest_s: float | None = None,
-    ) -> Answer | NotSent | Lost:
-        """Make one call and read its whole answer.
-
-        :param timeout_s: how long the service may be silent: until the answer begins,
-            and between two pieces of it.
-        :param longest_s: how long the whole call may take while pieces keep coming;
-            None where ``timeout_s`` bounds the whole. A large answer over a slow link
-            takes longer than a silent connection may go unnoticed. Given up and made
-            again from its start, it would never be there.
+        max_total_s: float | None = None,
+    ) -> HttpResponse | NotSent | ResponseLost:
+        """Make one call and read the complete response.
+
+        :param timeout_s: maximum time until the response body starts, and between
+            two chunks of it.
+        :param max_total_s: maximum duration of the call while chunks keep arriving;
+            None if ``timeout_s`` limits the entire call. A large response over a slow
+            link takes longer than the time after which an idle connection must be
+            detected, and would never complete if each attempt were aborted then and
+            restarted from the beginning.
         """
         progress = _Progress()
         sent_fields = {"host": self._host, "user-agent": self._client_name}
         sent_fields.update(fields or {})
         try:
             with anyio.fail_after(timeout_s) as scope:
-                if longest_s is not None:
-                    progress.extend_deadline(scope, timeout_s, longest_s)
+                if max_total_s is not None:
+                    progress.extend_deadline(scope, timeout_s, max_total_s)
                 return await self._exchange(method, path, sent_fields, body, progress)
         except (TimeoutError, httpcore.TimeoutException):
             detail = f"no answer in {timeout_s:g} s"
-            if longest_s is not None and progress.answer_begun:
-                detail = f"the answer did not go on for {timeout_s:g} s"
+            if max_total_s is not None and progress.response_started:
+                detail = f"response stalled for {timeout_s:g} s"
             return _failure(progress, Reason.TIMEOUT, detail)
         except (
             httpcore.NetworkError,
@@ -188,7 +190,7 @@
         fields: dict[str, str],
         body: bytes,
         progress: _Progress,
-    ) -> Answer | Lost:
+    ) -> HttpResponse | ResponseLost:
         if body or method in ("POST", "PUT"):
             fields["content-length"] = str(len(body))
         async with self._pool.stream(
@@ -196,24 +198,29 @@
             self._base_url + path,
             headers=list(fields.items()),
             content=body or None,
-            extensions={"trace": progress.note},
+            extensions={"trace": progress.trace},
         ) as response:
             received = bytearray()
             async for chunk in response.aiter_stream():
                 received += chunk
-                progress.note_piece()
-                if len(received) > MAX_ANSWER_BYTES:
-                    return Lost(Reason.BODY_TOO_LARGE, "the answer is too large")
+                progress.record_chunk()
+                if len(received) > MAX_RESPONSE_BYTES:
+                    return ResponseLost(
+                        Reason.BODY_TOO_LARGE,
+                        f"response exceeds the limit of {MAX_RESPONSE_BYTES} bytes",
+                    )
             names = {
                 name.decode("latin-1").lower(): value.decode("latin-1")
                 for name, value in response.headers
             }
-            return Answer(response.status, names, bytes(received))
+            return HttpResponse(response.status, names, bytes(received))
 
     async def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         await self._pool.aclose()
 
 
-def _failure(progress: _Progress, reason: Reason, detail: str) -> NotSent | Lost:
-    return Lost(reason, detail) if progress.sent else NotSent(reason, detail)
+def _failure(
+    progress: _Progress, reason: Reason, detail: str
+) -> NotSent | ResponseLost:
+    return ResponseLost(reason, detail) if progress.sent else NotSent(reason, detail)
--- a/src/endivegw/services/measured_rows.py
+++ b/src/endivegw/services/measured_rows.py
@@ -1,4 +1,4 @@
-"""A store of rows whose calls are timed."""
+"""Row store wrapper that records the duration of each call."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
     HistoryGone,
     NewRow,
     RowStorePort,
-    StoreMoment,
+    StoreTimestamp,
 )
 
-__all__ = ["CallMeter", "MeasuredRows"]
+__all__ = ["CallMeter", "TimedRowStore"]
 
 
 class CallMeter(Protocol):
-    """Take what calls took."""
+    """Record the durations of store calls."""
 
     def store_call(self, call: str, outcome: str, took_s: float) -> None:
-        """Record one call; ``outcome`` is the result's kind in lower case."""
+        """Record one call; ``outcome`` is the result's class name in lower case."""
 
 
 @frozen
-class MeasuredRows:
-    """Pass calls on to a store, and tell a meter how long each took."""
+class TimedRowStore:
+    """Forward calls to a store and report their durations to a meter."""
 
     store: RowStorePort
     meter: CallMeter
@@ -42,37 +42,37 @@
         *,
         deletes: tuple[ExpectedRow, ...] = (),
         timeout_s: float,
-    ) -> Done[StoreMoment] | Conflict | Refused | Unknown:
-        """Write all or nothing."""
-        begun_s = self.clock()
+    ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown:
+        """Apply all writes or none."""
+        started_s = self.clock()
         result = await self.store.transact(
             expected, puts, deletes=deletes, timeout_s=timeout_s
         )
-        self._note("write", result, begun_s)
+        self._record("write", result, started_s)
         return result
 
     async def list_rows(
         self, table: str, *, timeout_s: float, partition: str = ""
     ) -> Done[Changes] | Refused | Unknown:
-        """Return all rows of a table's partition as of one moment."""
-        begun_s = self.clock()
+        """Return a consistent snapshot of a table's partition."""
+        started_s = self.clock()
         result = await self.store.list_rows(
             table, timeout_s=timeout_s, partition=partition
         )
-        self._note("list", result, begun_s)
+        self._record("list", result, started_s)
         return result
 
     async def watch(
         self, table: str, after_revision: int, *, wait_s: float, timeout_s: float
     ) -> Done[Changes] | HistoryGone | Refused | Unknown:
-        """Return the changes since a revision, as soon as there is one."""
-        begun_s = self.clock()
+        """Return the changes after a revision, as soon as there are any."""
+        started_s = self.clock()
         result = await self.store.watch(
             table, after_revision, wait_s=wait_s, timeout_s=timeout_s
         )
-        self._note("watch", result, begun_s)
+        self._record("watch", result, started_s)
         return result
 
-    def _note(self, call: str, result: object, begun_s: float) -> None:
+    def _record(self, call: str, result: object, started_s: float) -> None:
         outcome = type(result).__name__.lower()
-        self.meter.store_call(call, outcome, self.clock() - begun_s)
+        self.meter.store_call(call, outcome, self.clock() - started_s)
--- a/src/endivegw/services/ports.py
+++ b/src/endivegw/services/ports.py
@@ -1,7 +1,8 @@
-"""The platform's services as the rest of the package sees them.
+"""Interfaces of the platform's services.
 
-One small port per service, so that the adapter for a real service is one
-module. Each call ends in done, refused or unknown, within ``timeout_s``.
+Each service has one small port, so that the adapter for an actual service fits in
+one module. Each call returns ``Done``, ``Refused`` or ``Unknown`` within
+``timeout_s``.
 """
 
 from __future__ import annotations
@@ -35,16 +36,20 @@
     "Write",
 ]
 
-#: A field of a row: whole numbers can be added to, strings cannot.
+#: Value of a row's field. :class:`Add` applies to integers only.
 RowValue = str | int
 
-#: The most items that one transaction may touch, as the common table services set it.
+#: Maximum number of items in one transaction, as set by common table services.
 MAX_TRANSACTION_ITEMS = 100
 
 
 @frozen(order=True)
 class RowKey:
-    """Name a row: rows of one partition are listed together, in sort order."""
+    """Identify a row.
+
+    :param partition: rows of one partition are listed together.
+    :param sort: key within the partition, which determines the order of a listing.
+    """
 
     partition: str
     sort: str
@@ -54,7 +59,7 @@
 class Row:
     """Hold one row as it was read.
 
-    :param version: grows by one with each write of the row, starting at 1.
+    :param version: number of writes of the row since it was created, starting at 1.
     """
 
     key: RowKey
@@ -64,10 +69,10 @@
 
 @frozen
 class Put:
-    """Write the whole row.
+    """Write a row, replacing all its fields.
 
-    :param expected_version: 0 where the row must not exist yet, a number where
-        it must be at that version, None to write in any case.
+    :param expected_version: version that the row must have, 0 if it must not exist
+        yet, or None to write unconditionally.
     """
 
     key: RowKey
@@ -77,13 +82,13 @@
 
 @frozen
 class Add:
-    """Add to whole-number fields of a row that exists, without reading it.
+    """Add to integer fields of an existing row without reading it.
 
-    Adding commutes, so that many writers of one hot row do not conflict.
+    Additions commute, so that many concurrent writers of one row do not conflict.
 
-    :param deltas: what is added to each field; negative to subtract.
-    :param minimums: the least value that a field may have **before** the
-        addition; the transaction is refused where one has less.
+    :param deltas: amount to add to each field; negative to subtract.
+    :param minimums: minimum value of each field **before** the addition; the
+        transaction is refused if a field is below its minimum.
     """
 
     key: RowKey
@@ -93,7 +98,7 @@
 
 @frozen
 class Delete:
-    """Delete the row at the version that was read."""
+    """Delete a row if it is at the expected version."""
 
     key: RowKey
     expected_version: int
@@ -101,7 +106,7 @@
 
 @frozen
 class Check:
-    """Refuse the transaction unless the row is at this version (0: absent)."""
+    """Refuse the transaction unless the row is at the expected version (0: absent)."""
 
     key: RowKey
     expected_version: int
@@ -112,9 +117,9 @@
 
 @frozen
 class Transaction:
-    """Hold writes that take effect together or not at all.
+    """Hold writes that are applied atomically.
 
-    :param writes: at most :data:`MAX_TRANSACTION_ITEMS`, no key twice.
+    :param writes: at most :data:`MAX_TRANSACTION_ITEMS`, each with a different key.
     """
 
     writes: tuple[Write, ...]
@@ -122,7 +127,7 @@
 
 @frozen
 class Page:
-    """Hold one page of a listing; ``next_sort`` is None on the last one."""
+    """Hold one page of a listing; ``next_sort`` is None on the last page."""
 
     rows: tuple[Row, ...]
     next_sort: str | None
@@ -134,12 +139,12 @@
     async def transact(
         self, transaction: Transaction, *, timeout_s: float
     ) -> Result[None]:
-        """Write all or nothing; refused with ``CONFLICT`` when a condition fails."""
+        """Apply all writes or none; refused with ``CONFLICT`` if a condition fails."""
 
     async def read(
         self, keys: tuple[RowKey, ...], *, timeout_s: float
     ) -> Result[tuple[Row | None, ...]]:
-        """Return the rows in the order of the keys, None for an absent one."""
+        """Return the rows in the order of the keys, None for each absent row."""
 
     async def scan(
         self,
@@ -150,12 +155,16 @@
         limit: int = 1000,
         timeout_s: float,
     ) -> Result[Page]:
-        """Return rows of a partition in sort order, behind ``after``."""
+        """Return rows of a partition in sort order, starting after ``after``.
+
+        :param prefix: restricts the page to sort keys that start with it.
+        :param limit: maximum number of rows in the page.
+        """
 
 
 @frozen
 class StoredObject:
-    """Hold one object and the tag that changes with each write of it."""
+    """Hold one object and its entity tag, which changes with each write."""
 
     body: bytes
     tag: str
@@ -165,20 +174,20 @@
     """The object store."""
 
     async def get(self, name: str, *, timeout_s: float) -> Result[StoredObject]:
-        """Return the object; refused with ``NOT_FOUND`` where there is none."""
+        """Return the object; refused with ``NOT_FOUND`` if it does not exist."""
 
     async def put(
         self, name: str, body: bytes, *, expected_tag: str | None, timeout_s: float
     ) -> Result[str]:
         """Write and return the new tag.
 
-        :param expected_tag: the tag that was read, "" where the object must
-            not exist yet, None to write in any case.
+        :param expected_tag: tag that the object must have, "" if it must not exist
+            yet, or None to write unconditionally.
         """
 
 
 class VmState(enum.Enum):
-    """What the platform says of a virtual machine."""
+    """State of a virtual machine as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -186,11 +195,11 @@
 
 @frozen
 class ListedVm:
-    """Hold one line of the platform's list of virtual machines.
+    """Hold one entry of the platform's list of virtual machines.
 
-    :param vm: the platform's id of the machine; a replacement has another.
-    :param address: IP address, without a port.
-    :param role: what runs there: ``router`` or ``target``.
+    :param vm: the platform's id of the machine; a replacement has a different id.
+    :param address: IP address without a port.
+    :param role: ``router`` or ``target``.
     """
 
     vm: str
@@ -201,14 +210,14 @@
 
 
 class VmListPort(Protocol):
-    """The list of virtual machines, which lags behind what is true."""
+    """The list of virtual machines, which lags behind their actual state."""
 
     async def list_vms(self, *, timeout_s: float) -> Result[tuple[ListedVm, ...]]:
-        """Return the machines that the platform knows of."""
+        """Return the virtual machines that the platform lists."""
 
 
 class WeightStorePort(Protocol):
     """The rate-limited store of model weights."""
 
     async def size_bytes(self, name: str, *, timeout_s: float) -> Result[int]:
-        """Return how large the weights of a model or adapter are."""
+        """Return the size of the weights of a model or adapter."""
--- a/src/endivegw/services/row_store.py
+++ b/src/endivegw/services/row_store.py
@@ -1,4 +1,4 @@
-"""The port of a transactional store of rows with one growing revision and a feed."""
+"""Interface of a transactional row store with a global revision and a change feed."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     "NewRow",
     "RowStorePort",
     "RowsPort",
-    "StoreMoment",
+    "StoreTimestamp",
     "StoredRow",
 ]
 
 
 @frozen
-class StoreMoment:
-    """Hold when the store answered.
+class StoreTimestamp:
+    """Hold the state of the store's revision and clock when it answered a call.
 
-    :param revision: the store's newest revision then.
-    :param now_ms: the store's steady clock then.
+    :param revision: the newest revision of the store.
+    :param now_ms: reading of the store's monotonic clock.
     """
 
     revision: int
@@ -37,8 +37,8 @@
 class StoredRow:
     """Hold one row as it was read.
 
-    :param revision: of the transaction that wrote it last.
-    :param deleted: whether that transaction deleted it.
+    :param revision: revision of the transaction that last wrote the row.
+    :param deleted: whether that transaction deleted the row.
     """
 
     table: str
@@ -50,9 +50,10 @@
 
 @frozen
 class ExpectedRow:
-    """Name a row and the revision that it must have; 0: it must not exist.
+    """Name a row and the revision that it must have.
 
-    :param partition: rows of one partition are written one transaction after another.
+    :param revision: 0 if the row must not exist.
+    :param partition: transactions within one partition are serialized.
     """
 
     table: str
@@ -73,10 +74,10 @@
 
 @frozen
 class Conflict:
-    """Say that a transaction did nothing, and hold the rows that it expected."""
+    """Report that a transaction had no effect, with the current rows it expected."""
 
     rows: tuple[StoredRow, ...]
-    moment: StoreMoment
+    timestamp: StoreTimestamp
 
 
 @frozen
@@ -84,19 +85,19 @@
     """Hold rows of one table, in the order of their revisions."""
 
     rows: tuple[StoredRow, ...]
-    moment: StoreMoment
+    timestamp: StoreTimestamp
 
 
 @frozen
 class HistoryGone:
-    """Say that the changes since a revision are no longer available."""
+    """Report that the changes after a revision are no longer available."""
 
 
 class RowsPort(Protocol):
-    """Rows that are listed and written.
+    """A store whose rows can be listed and written.
 
-    Each write ends within ``timeout_s``. A read may go on for longer while its answer
-    keeps coming; ``timeout_s`` then bounds each silence.
+    Each write ends within ``timeout_s``. A read may take longer while its response
+    keeps arriving; ``timeout_s`` then limits the time without data.
     """
 
     async def transact(
@@ -106,19 +107,22 @@
         *,
         deletes: tuple[ExpectedRow, ...] = (),
         timeout_s: float,
-    ) -> Done[StoreMoment] | Conflict | Refused | Unknown:
-        """Write all or nothing."""
+    ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown:
+        """Apply all writes or none."""
 
     async def list_rows(
         self, table: str, *, timeout_s: float, partition: str = ""
     ) -> Done[Changes] | Refused | Unknown:
-        """Return all rows of a table's partition as of one moment."""
+        """Return a consistent snapshot of a table's partition."""
 
 
 class RowStorePort(RowsPort, Protocol):
-    """The platform's store: its rows, and a feed of what changes."""
+    """The platform's row store with its change feed."""
 
     async def watch(
         self, table: str, after_revision: int, *, wait_s: float, timeout_s: float
     ) -> Done[Changes] | HistoryGone | Refused | Unknown:
-        """Return the changes since a revision, as soon as there is one."""
+        """Return the changes after a revision, as soon as there are any.
+
+        :param wait_s: how long the store may wait for a change.
+        """
--- a/src/endivegw/services/s3_objects.py
+++ b/src/endivegw/services/s3_objects.py
@@ -1,4 +1,4 @@
-"""The object store over the S3 REST interface."""
+"""Object store client for the S3 REST API."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from endivegw.results import Done, Reason, Refused, Result, Unknown
 from endivegw.services.http_calls import (
-    Answer,
-    CallFailure,
+    CallError,
     HttpCaller,
-    Lost,
+    HttpResponse,
     NotSent,
-    failed_read,
-    failed_write,
+    ResponseLost,
+    read_failure,
+    write_failure,
 )
 from endivegw.services.ports import StoredObject
 from endivegw.services.signing import Credentials, signed_fields
 
 __all__ = ["S3Objects"]
 
-#: Conditional writes answer 412 when the condition fails and 409 when another
-#: conditional write of the same object is under way; neither wrote anything.
+#: A conditional write fails with 412 if its condition does not hold, and with 409
+#: while another conditional write of the object is in progress. Neither has an effect.
 _CONFLICT_STATUSES = (409, 412)
 
 
@@ -29,7 +29,7 @@
     """Implement the object store port over HTTP.
 
     :param url: endpoint with the bucket's name as its path.
-    :param credentials: None where the service asks for no signature.
+    :param credentials: None if the service requires no signature.
     """
 
     def __init__(
@@ -43,38 +43,38 @@
         self._credentials = credentials
 
     async def get(self, name: str, *, timeout_s: float) -> Result[StoredObject]:
-        """Return the object; refused with ``NOT_FOUND`` where there is none."""
-        answer = await self._call("GET", name, {}, b"", timeout_s)
-        match answer:
-            case Answer(status=200, fields=fields, body=body):
+        """Return the object; refused with ``NOT_FOUND`` if it does not exist."""
+        response = await self._call("GET", name, {}, b"", timeout_s)
+        match response:
+            case HttpResponse(status=200, fields=fields, body=body):
                 return Done(StoredObject(body, fields.get("etag", "")))
-            case Answer():
-                return _refused(answer)
-            case NotSent() | Lost():
-                return failed_read(answer)
+            case HttpResponse():
+                return _refused(response)
+            case NotSent() | ResponseLost():
+                return read_failure(response)
 
     async def put(
         self, name: str, body: bytes, *, expected_tag: str | None, timeout_s: float
     ) -> Result[str]:
-        """Write and return the new tag; refused with ``CONFLICT`` on another tag."""
+        """Write and return the new tag; refused with ``CONFLICT`` on a wrong tag."""
         fields = {}
         if expected_tag == "":
             fields["if-none-match"] = "*"
         elif expected_tag is not None:
             fields["if-match"] = expected_tag
-        answer = await self._call("PUT", name, fields, body, timeout_s)
-        match answer:
-            case Answer(status=200, fields=reply_fields):
+        response = await self._call("PUT", name, fields, body, timeout_s)
+        match response:
+            case HttpResponse(status=200, fields=reply_fields):
                 return Done(reply_fields.get("etag", ""))
-            case Answer(status=status) if status >= 500 and status != 503:
+            case HttpResponse(status=status) if status >= 500 and status != 503:
                 return Unknown(Reason.ANSWER_LOST, f"HTTP {status}")
-            case Answer():
-                return _refused(answer)
-            case NotSent() | Lost():
-                return failed_write(answer)
+            case HttpResponse():
+                return _refused(response)
+            case NotSent() | ResponseLost():
+                return write_failure(response)
 
     async def close(self) -> None:
-        """Close all kept connections."""
+        """Close all pooled connections."""
         await self._caller.close()
 
     async def _call(
@@ -84,7 +84,7 @@
         fields: dict[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> Answer | CallFailure:
+    ) -> HttpResponse | CallError:
         path = "/" + quote(name, safe="/-_.~")
         if self._credentials is not None:
             fields = signed_fields(
@@ -101,15 +101,15 @@
         )
 
 
-def _refused(answer: Answer) -> Refused:
-    detail = f"HTTP {answer.status}"
-    if answer.status == 404:
+def _refused(response: HttpResponse) -> Refused:
+    detail = f"HTTP {response.status}"
+    if response.status == 404:
         return Refused(Reason.NOT_FOUND, detail)
-    if answer.status in _CONFLICT_STATUSES:
+    if response.status in _CONFLICT_STATUSES:
         return Refused(Reason.CONFLICT, detail)
-    # 503 is the store's request to slow down; it is sent before any effect.
-    if answer.status in (429, 503):
-        return Refused(Reason.THROTTLED, detail, answer.retry_after_s())
-    if answer.status >= 500:
+    # S3 uses 503 for "slow down", which is sent before the call has any effect.
+    if response.status in (429, 503):
+        return Refused(Reason.THROTTLED, detail, response.retry_after_s())
+    if response.status >= 500:
         return Refused(Reason.UNREACHABLE, detail)
     return Refused(Reason.BAD_REQUEST, detail)
--- a/src/endivegw/services/signing.py
+++ b/src/endivegw/services/signing.py
@@ -1,4 +1,4 @@
-"""Signature version 4, with which the table and object services know a caller."""
+"""AWS Signature Version 4, which authenticates calls to table and object services."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @frozen
 class Credentials:
-    """Hold the access key of this process for the platform's services.
+    """Hold this process's access key for the platform's services.
 
-    :param secret_key: never shown in a log or an error.
+    :param secret_key: excluded from the repr, so that no log or error contains it.
     """
 
     access_key_id: str
@@ -50,26 +50,26 @@
     """Return the header fields of a call with its signature added.
 
     :param service: ``dynamodb`` or ``s3``.
-    :param url: without a query string; no call of this package has one.
-    :param now: present time in UTC; services refuse one that is minutes off.
+    :param url: URL without a query string; no call of this package has one.
+    :param now: current time in UTC; services refuse a time that is minutes off.
     """
     parts = urlsplit(url)
-    stamp = now.strftime("%Y%m%dT%H%M%SZ")
-    date = stamp[:8]
+    amz_date = now.strftime("%Y%m%dT%H%M%SZ")
+    date = amz_date[:8]
     body_digest = hashlib.sha256(body).hexdigest()
     signed = {name.lower(): value for name, value in fields.items()}
     signed["host"] = parts.netloc
-    signed["x-amz-date"] = stamp
+    signed["x-amz-date"] = amz_date
     signed["x-amz-content-sha256"] = body_digest
     names = ";".join(sorted(signed))
     lines = "".join(f"{name}:{signed[name].strip()}\n" for name in sorted(signed))
     path = quote(parts.path or "/", safe="/-_.~")
-    request = "\n".join((method, path, "", lines, names, body_digest))
+    canonical_request = "\n".join((method, path, "", lines, names, body_digest))
     scope = f"{date}/{credentials.region}/{service}/aws4_request"
-    digest = hashlib.sha256(request.encode()).hexdigest()
-    text = "\n".join((_ALGORITHM, stamp, scope, digest))
+    digest = hashlib.sha256(canonical_request.encode()).hexdigest()
+    string_to_sign = "\n".join((_ALGORITHM, amz_date, scope, digest))
     key = _signing_key(credentials, date, service)
-    signature = hmac.new(key, text.encode(), hashlib.sha256).hexdigest()
+    signature = hmac.new(key, string_to_sign.encode(), hashlib.sha256).hexdigest()
     signed["authorization"] = (
         f"{_ALGORITHM} Credential={credentials.access_key_id}/{scope}, "
         f"SignedHeaders={names}, Signature={signature}"
--- a/src/endivegw/services/table_rows.py
+++ b/src/endivegw/services/table_rows.py
@@ -1,4 +1,4 @@
-"""Rows with revisions, kept in the transactional table."""
+"""Row store implemented on the transactional table service."""
 
 from __future__ import annotations
 
@@ -21,19 +21,22 @@
     ExpectedRow,
     NewRow,
     StoredRow,
-    StoreMoment,
+    StoreTimestamp,
 )
 
 __all__ = ["TableRows"]
 
 _VALUE = "value"
 
-#: The table counts versions for each row and has no revision of its own.
-_NEWEST = StoreMoment(sys.maxsize, 0)
+#: The table counts versions per row and has no global revision.
+_NEWEST = StoreTimestamp(sys.maxsize, 0)
 
 
 class TableRows:
-    """Read and write small rows; a row's revision is its version in the table."""
+    """Read and write small rows.
+
+    A row's revision is its version in the table.
+    """
 
     def __init__(self, table: TablePort) -> None:
         self._table = table
@@ -41,7 +44,7 @@
     async def list_rows(
         self, table: str, *, timeout_s: float, partition: str = ""
     ) -> Done[Changes] | Refused | Unknown:
-        """Return all rows of a table, read page after page."""
+        """Return all rows of a table, reading page by page."""
         found: list[StoredRow] = []
         after: str | None = None
         while True:
@@ -62,10 +65,10 @@
         *,
         deletes: tuple[ExpectedRow, ...] = (),
         timeout_s: float,
-    ) -> Done[StoreMoment] | Conflict | Refused | Unknown:
-        """Write one row, or delete one.
+    ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown:
+        """Write or delete one row.
 
-        :param expected: names the row that is written, with its revision.
+        :param expected: the row to write, with its current revision.
         """
         (row,) = expected or deletes
         key = RowKey(row.table, row.key)
@@ -76,7 +79,7 @@
         result = await self._table.transact(Transaction((write,)), timeout_s=timeout_s)
         match result:
             case Done():
-                return Done(StoreMoment(row.revision + 1, 0))
+                return Done(StoreTimestamp(row.revision + 1, 0))
             case Refused(reason=Reason.CONFLICT):
                 return await self._conflict(row, key, timeout_s)
         return result
--- a/src/endivegw/types.py
+++ b/src/endivegw/types.py
@@ -1,4 +1,4 @@
-"""The identifiers and small values that all parts share."""
+"""Identifiers and small value types shared by all packages."""
 
 from __future__ import annotations
 
@@ -27,24 +27,25 @@
 TargetName = NewType("TargetName", str)
 AvailabilityZone = NewType("AvailabilityZone", str)
 
-#: One start of one process: a restarted process has another instance id.
+#: Identifies one run of one process; a restarted process has a new instance id.
 InstanceId = NewType("InstanceId", str)
 
-#: One try of one request at one target, chosen before the hand-over.
+#: Identifies one attempt of a request at one target; chosen before the request is
+#: handed over.
 AttemptId = NewType("AttemptId", str)
 
-#: One escrowed share of a budget, chosen before the write that creates it.
+#: Identifies one escrowed share of a budget; chosen before the write that creates it.
 GrantId = NewType("GrantId", str)
 
-#: One move of tokens between two routers, chosen by the donor.
+#: Identifies one transfer of tokens between two routers; chosen by the donor.
 TransferId = NewType("TransferId", str)
 
-#: The revision of the configuration; it only ever grows.
+#: Revision of the configuration; never decreases.
 ConfigRevision = NewType("ConfigRevision", int)
 
 
 class Outcome(enum.Enum):
-    """What a caller may be told about its request."""
+    """Outcome of a request as reported to its caller."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -52,7 +53,7 @@
 
 
 class Priority(enum.IntEnum):
-    """The order in which work is served; lower numbers go first."""
+    """Priority of a request; lower numbers are served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -61,7 +62,7 @@
 
 @frozen(order=True)
 class BudgetKey:
-    """Name one prepaid budget of one client account."""
+    """Identify one prepaid budget of one client account."""
 
     client_account: ClientAccountName
     budget: str
@@ -72,11 +73,11 @@
 
 @frozen(order=True)
 class RequestIdentity:
-    """Name one request for all its tries.
+    """Identify one request across all its attempts.
 
-    :param client_account: the account that sent it.
-    :param idempotency_key: the caller's key; the router makes one up for a
-        repeatable request that carries none.
+    :param client_account: the account that sent the request.
+    :param idempotency_key: the caller's key; the router generates one for a
+        repeatable request without a key.
     """
 
     client_account: ClientAccountName
@@ -95,5 +96,5 @@
 
     @property
     def total_tokens(self) -> int:
-        """Return what the budget is charged."""
+        """Return the number of tokens charged to the budget."""
         return self.prompt_tokens + self.completion_tokens
--- a/src/endivegw_standins/dynamo_server.py
+++ b/src/endivegw_standins/dynamo_server.py
@@ -1,7 +1,7 @@
-"""The stand-in table's side of the DynamoDB low-level JSON interface.
+"""Server side of the DynamoDB low-level JSON API for the stand-in table.
 
-It understands the expressions that the product's adapter sends, and refuses
-all others loudly, so that a changed expression fails a test.
+The server supports only the expressions that the product's adapter sends and returns
+an error for all others, so that a changed expression fails a test.
 """
 
 from __future__ import annotations
@@ -47,11 +47,11 @@
 
 
 class ExpressionError(Exception):
-    """Report an expression that the stand-in does not know."""
+    """Report an expression that the stand-in does not support."""
 
 
 def answer_action(table: MemoryTable, action: str, body: bytes) -> Reply:
-    """Carry out one call and return its answer."""
+    """Carry out one call and return its reply."""
     request = json.loads(body)
     try:
         match action:
@@ -85,10 +85,10 @@
 
 
 def _batch_get(table: MemoryTable, request: Json) -> Reply:
-    ((name, wanted),) = request["RequestItems"].items()
-    keys = [parse_key(key) for key in wanted["Keys"]]
+    ((name, requested),) = request["RequestItems"].items()
+    keys = [parse_key(key) for key in requested["Keys"]]
     if len(keys) > MAX_TRANSACTION_ITEMS or len(set(keys)) != len(keys):
-        return _error("ValidationException", "too many keys, or one key twice")
+        return _error("ValidationException", "too many keys or duplicate keys")
     table.reads += len(keys)
     rows = [table.get(key) for key in keys]
     items = [encode_row(row) for row in rows if row is not None]
@@ -143,19 +143,19 @@
         raise ExpressionError(update)
     if condition.split(" AND ")[0] != PRESENT:
         raise ExpressionError(condition)
-    pieces = update.removeprefix("SET ").removesuffix("ADD #version :one").strip()
+    terms = update.removeprefix("SET ").removesuffix("ADD #version :one").strip()
     deltas = {}
-    for piece in filter(None, pieces.split(", #")):
-        match = _DELTA.fullmatch("#" + piece.removeprefix("#"))
+    for term in filter(None, terms.split(", #")):
+        match = _DELTA.fullmatch("#" + term.removeprefix("#"))
         if match is None:
             raise ExpressionError(update)
-        number = match.group(1)
-        deltas[names[f"#n{number}"]] = int(values[f":d{number}"]["N"])
+        index = match.group(1)
+        deltas[names[f"#n{index}"]] = int(values[f":d{index}"]["N"])
     minimums = {}
-    for piece in condition.split(" AND ")[1:]:
-        match = _MINIMUM.fullmatch(piece)
+    for term in condition.split(" AND ")[1:]:
+        match = _MINIMUM.fullmatch(term)
         if match is None:
             raise ExpressionError(condition)
-        number = match.group(1)
-        minimums[names[f"#n{number}"]] = int(values[f":m{number}"]["N"])
+        index = match.group(1)
+        minimums[names[f"#n{index}"]] = int(values[f":m{index}"]["N"])
     return Add(parse_key(part["Key"]), deltas, minimums)
--- a/src/endivegw_standins/faulty_table.py
+++ b/src/endivegw_standins/faulty_table.py
@@ -1,4 +1,4 @@
-"""The stand-in table as seen over a bad network: away, late, lost and doubled."""
+"""Stand-in table behind a faulty network that loses, delays and duplicates calls."""
 
 from __future__ import annotations
 
@@ -17,26 +17,28 @@
 
 @define
 class TableFaults:
-    """Hold what goes wrong between one process and the table; may be changed.
-
-    :ivar away: no call gets through.
-    :ivar lose_answer: share of writes that take effect and are not answered.
-    :ivar late: share of writes that are not answered and take effect later.
-    :ivar double: share of writes that arrive a second time later.
+    """Configure the faults between one process and the table; may change at run time.
+
+    :ivar unavailable: whether all calls time out without an effect.
+    :ivar lost_answer_share: share of writes that take effect but time out.
+    :ivar delayed_share: share of writes that time out and take effect later.
+    :ivar double: share of writes that are applied a second time later.
+    :ivar latency_s: mean latency of each direction of a call.
+    :ivar late_by_s: maximum delay of writes that are applied later.
     """
 
-    away: bool = False
-    lose_answer: float = 0.0
-    late: float = 0.0
+    unavailable: bool = False
+    lost_answer_share: float = 0.0
+    delayed_share: float = 0.0
     double: float = 0.0
     latency_s: float = 0.005
     late_by_s: float = 20.0
 
 
 class FaultyTable:
-    """Give one process its view of a shared table.
+    """Give one process access to a shared table with its own faults.
 
-    :param background: where writes that arrive later wait.
+    :param background: task group that applies delayed writes.
     """
 
     def __init__(
@@ -54,19 +56,19 @@
     async def transact(
         self, transaction: Transaction, *, timeout_s: float
     ) -> Result[None]:
-        """Write, or fail in one of the ways that the faults name."""
+        """Carry out a transaction, subject to the configured faults."""
         faults = self._faults
-        if faults.away:
+        if faults.unavailable:
             return await self._time_out(timeout_s)
         await anyio.sleep(self._latency_s())
         chance = self._rng.random()
-        if chance < faults.late:
-            self._background.start_soon(self._arrive_late, transaction)
+        if chance < faults.delayed_share:
+            self._background.start_soon(self._apply_later, transaction)
             return await self._time_out(timeout_s)
         result = self._table.transact_now(transaction)
-        if chance < faults.late + faults.double:
-            self._background.start_soon(self._arrive_late, transaction)
-        elif chance < faults.late + faults.double + faults.lose_answer:
+        if chance < faults.delayed_share + faults.double:
+            self._background.start_soon(self._apply_later, transaction)
+        elif chance < faults.delayed_share + faults.double + faults.lost_answer_share:
             return await self._time_out(timeout_s)
         await anyio.sleep(self._latency_s())
         return result
@@ -74,8 +76,8 @@
     async def read(
         self, keys: tuple[RowKey, ...], *, timeout_s: float
     ) -> Result[tuple[Row | None, ...]]:
-        """Read, unless the table is away."""
-        if self._faults.away:
+        """Read rows unless the table is unavailable."""
+        if self._faults.unavailable:
             return await self._time_out(timeout_s)
         await anyio.sleep(self._latency_s())
         result = await self._table.read(keys, timeout_s=timeout_s)
@@ -91,8 +93,8 @@
         limit: int = 1000,
         timeout_s: float,
     ) -> Result[Page]:
-        """List a page, unless the table is away."""
-        if self._faults.away:
+        """Return one page of a partition unless the table is unavailable."""
+        if self._faults.unavailable:
             return await self._time_out(timeout_s)
         await anyio.sleep(self._latency_s())
         self._table.reads += 1
@@ -105,8 +107,8 @@
 
     async def _time_out(self, timeout_s: float) -> Unknown:
         await anyio.sleep(timeout_s)
-        return Unknown(Reason.TIMEOUT, "no answer from the table")
+        return Unknown(Reason.TIMEOUT, "no response from the table")
 
-    async def _arrive_late(self, transaction: Transaction) -> None:
+    async def _apply_later(self, transaction: Transaction) -> None:
         await anyio.sleep(self._faults.late_by_s * self._rng.random())
         self._table.transact_now(transaction)
--- a/src/endivegw_standins/object_server.py
+++ b/src/endivegw_standins/object_server.py
@@ -1,4 +1,4 @@
-"""The stand-in object store's side of the S3 REST interface."""
+"""Server side of the S3 REST API for the stand-in object store."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 @define
 class MemoryObjects:
-    """Keep objects in memory.
+    """Store objects in memory.
 
-    :ivar reads: how many objects were asked for.
-    :ivar writes: how many writes were asked for.
+    :ivar reads: number of objects requested.
+    :ivar writes: number of writes requested.
     """
 
     objects: dict[str, StoredObject] = field(factory=dict)
@@ -25,7 +25,7 @@
     writes: int = 0
 
     def get(self, name: str) -> Reply:
-        """Answer a GET."""
+        """Handle a GET request."""
         self.reads += 1
         stored = self.objects.get(name)
         if stored is None:
@@ -35,7 +35,7 @@
     def put(
         self, name: str, body: bytes, if_match: str | None, if_none_match: str | None
     ) -> Reply:
-        """Answer a PUT, with its conditions."""
+        """Handle a PUT request with its conditional header fields."""
         self.writes += 1
         stored = self.objects.get(name)
         if if_none_match == "*" and stored is not None:
--- a/src/endivegw_standins/request_faults.py
+++ b/src/endivegw_standins/request_faults.py
@@ -56,15 +56,15 @@
 
 
 async def _faulty_table(world: RequestWorld, rng: random.Random) -> None:
-    world.table_faults.lose_answer = 0.1
-    world.table_faults.late = 0.05
+    world.table_faults.lost_answer_share = 0.1
+    world.table_faults.delayed_share = 0.05
     world.table_faults.double = 0.05
     await anyio.sleep_forever()
 
 
 async def _table_unavailable(world: RequestWorld, rng: random.Random) -> None:
     await anyio.sleep(rng.uniform(0.0, 10.0))
-    world.table_faults.away = True
+    world.table_faults.unavailable = True
     await anyio.sleep_forever()
 
 
@@ -77,7 +77,7 @@
         tasks.start_soon(_machine_replacements, world, rng)
         while True:
             await anyio.sleep(rng.uniform(0.0, 60.0))
-            world.table_faults.away = not world.table_faults.away
+            world.table_faults.unavailable = not world.table_faults.unavailable
 
 
 #: Faults by name, in the order in which reports list them.
--- a/src/endivegw_standins/request_net.py
+++ b/src/endivegw_standins/request_net.py
@@ -15,7 +15,7 @@
 
 from endivegw.daemons.claim_desk import SlotDesk
 from endivegw.daemons.sidecar import Sidecar
-from endivegw.peers import Broken, NotDelivered
+from endivegw.peers import NotDelivered, OutcomeUnknown
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 
 __all__ = ["FaultyClient", "Host", "NetFaults"]
@@ -104,7 +104,7 @@
         if self._happens(self.faults.lose_order):
             if self._happens(self.faults.arrive_late):
                 self.background.start_soon(self._arrive_late, message)
-            raise Broken("connection reset")
+            raise OutcomeUnknown("connection reset")
         if self._happens(self.faults.duplicate_order):
             self.background.start_soon(self._arrive_late, message)
         frames_until_break = self._frames_until_break()
@@ -113,10 +113,10 @@
             yield frame
             frames_until_break -= 1
             if frames_until_break == 0:
-                raise Broken("connection reset")
+                raise OutcomeUnknown("connection reset")
             if frame.WhichOneof("kind") in ("end", "failed", "refused"):
                 return
-        raise Broken("connection reset")
+        raise OutcomeUnknown("connection reset")
 
     async def cancel(self, request: Any, timeout_s: float) -> Any:
         """Call Cancel."""
@@ -136,7 +136,7 @@
     async def _answer(self, message: Any) -> AsyncIterator[pb.Frame]:
         process, tasks = self.host.process, self.host.tasks
         if process is None or tasks is None:
-            raise Broken("sidecar process has exited")
+            raise OutcomeUnknown("sidecar process has exited")
         call = _Call(message)
         scope = anyio.CancelScope()
         tasks.start_soon(_serve, process.Execute, call, scope)
@@ -155,7 +155,7 @@
         lost = self._happens(self.faults.lose_call)
         if lost and self._happens(0.5):
             await anyio.sleep(timeout_s)
-            raise Broken(f"{name} request lost")
+            raise OutcomeUnknown(f"{name} request lost")
         call = _Call(request)
         tasks.start_soon(_serve, getattr(process, name), call, anyio.CancelScope())
         with anyio.move_on_after(timeout_s):
@@ -163,7 +163,7 @@
                 if not lost:
                     await self._latency()
                     return reply
-        raise Broken(f"{name} reply lost")
+        raise OutcomeUnknown(f"{name} reply lost")
 
     async def _arrive_late(self, message: Any) -> None:
         await anyio.sleep(self.rng.uniform(0.0, self.faults.late_by_s))
@@ -171,7 +171,7 @@
         try:
             async for _ in self._answer(message):
                 pass
-        except Broken:
+        except OutcomeUnknown:
             pass
 
     def _frames_until_break(self) -> int:
--- a/tests/test_allowances_fleet.py
+++ b/tests/test_allowances_fleet.py
@@ -262,9 +262,9 @@
                         case 0:
                             world.store.cut = set(fault_rng.sample(world.vms, 3))
                         case 1:
-                            world.store.cut, world.store.deaf = set(), set()
+                            world.store.cut, world.store.unanswered = set(), set()
                         case 2:
-                            world.store.deaf = {fault_rng.choice(world.vms)}
+                            world.store.unanswered = {fault_rng.choice(world.vms)}
                         case 3:
                             world.isolated = set(fault_rng.sample(world.vms, 2))
                         case 4:
--- a/tests/test_allowances_takeover.py
+++ b/tests/test_allowances_takeover.py
@@ -128,7 +128,7 @@
                 break
         world.isolated.clear()
         world.unresponsive.clear()
-        for vms_affected in (world.store.cut, world.store.deaf, world.store.late):
+        for vms_affected in (world.store.cut, world.store.unanswered, world.store.late):
             vms_affected.clear()
         await anyio.sleep(OPTIONS.validity_s + 5.0)
     return world.outcome.consumed_tokens.get(ACCOUNT, 0), prepaid
@@ -154,7 +154,7 @@
             store.cut.add(vm)
             world.isolated.add(vm)
         case 4:
-            store.deaf.add(vm)
+            store.unanswered.add(vm)
         case 5:
             store.late.add(vm)
         case 6:
@@ -166,7 +166,12 @@
             world.unresponsive.add(vm)
         case _:
             if rng.random() < 0.5:
-                for vms_affected in (store.cut, store.deaf, store.late, world.isolated):
+                for vms_affected in (
+                    store.cut,
+                    store.unanswered,
+                    store.late,
+                    world.isolated,
+                ):
                     vms_affected.clear()
                 world.unresponsive.clear()
 
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -236,7 +236,7 @@
                 reserve_s=700.0,
             )
             for router in fleet.routers:
-                router.faults.away = True
+                router.faults.unavailable = True
             outcomes = await self.send(
                 fleet,
                 fleet.routers,
@@ -248,7 +248,7 @@
             )
             refused = [one for one in outcomes if isinstance(one, Refused)]
             for router in fleet.routers:
-                router.faults.away = False
+                router.faults.unavailable = False
             self.assertEqual(len(refused), 0)
             await self.close_all(fleet)
             await self.assert_settled(fleet)
--- a/tests/test_budgets_machine.py
+++ b/tests/test_budgets_machine.py
@@ -165,7 +165,9 @@
 
     @rule(
         router=ROUTERS,
-        kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]),
+        kind=st.sampled_from(
+            ["unavailable", "lost_answer_share", "delayed_share", "double", "heal"]
+        ),
     )
     def table_fault(self, router, kind):
         """Set or clear a fault between one router and the table."""
@@ -177,7 +179,9 @@
 
     @rule(
         sidecar=SIDECARS,
-        kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]),
+        kind=st.sampled_from(
+            ["unavailable", "lost_answer_share", "delayed_share", "double", "heal"]
+        ),
     )
     def sidecar_table_fault(self, sidecar, kind):
         """Set or clear a fault between one sidecar and the table."""
@@ -187,18 +191,22 @@
 
         self._do(command)
 
-    @rule(away=st.booleans(), duration_s=st.sampled_from([1.0, 60.0, 600.0]))
-    def table_outage(self, away, duration_s):
+    @rule(unavailable=st.booleans(), duration_s=st.sampled_from([1.0, 60.0, 600.0]))
+    def table_outage(self, unavailable, duration_s):
         """Start or end an outage of the table for all routers and sidecars."""
 
         async def command():
             for one in self.fleet.live_routers() + self.fleet.all_sidecars:
-                one.faults.away = away
+                one.faults.unavailable = unavailable
             await anyio.sleep(duration_s)
 
         self._do(command)
 
-    @rule(kind=st.sampled_from(["away", "lose_answer", "late", "double", "heal"]))
+    @rule(
+        kind=st.sampled_from(
+            ["unavailable", "lost_answer_share", "delayed_share", "double", "heal"]
+        )
+    )
     def operator_fault(self, kind):
         """Set or clear a fault between the table and both operators and recovery."""
 
@@ -392,9 +400,9 @@
 
 
 def _set_fault(faults: TableFaults, kind):
-    faults.away = kind == "away"
-    faults.lose_answer = 0.3 if kind == "lose_answer" else 0.0
-    faults.late = 0.3 if kind == "late" else 0.0
+    faults.unavailable = kind == "unavailable"
+    faults.lost_answer_share = 0.3 if kind == "lost_answer_share" else 0.0
+    faults.delayed_share = 0.3 if kind == "delayed_share" else 0.0
     faults.double = 0.4 if kind == "double" else 0.0
 
 
@@ -426,7 +434,7 @@
         async def main():
             async with anyio.create_task_group() as tasks:
                 fleet = Fleet(tasks, random.Random(3), routers=0, sidecars=0)
-                fleet.operator_faults.lose_answer = 0.5
+                fleet.operator_faults.lost_answer_share = 0.5
                 fleet.operator_faults.double = 0.3
                 results = []
 
--- a/tests/test_budgets_parts.py
+++ b/tests/test_budgets_parts.py
@@ -172,12 +172,12 @@
             old.die()
             fresh = fleet.add_sidecar(old.target)
             await anyio.sleep(2)
-            fresh.faults.away = True
+            fresh.faults.unavailable = True
             grant_id = next(iter(next(iter(router.budget_manager.wallets())).grants))
             now_s = fleet.clock()
             refused = await fresh.gate.admit(grant_id, BUDGET, "x", 9, now_s)
             self.assertIs(refused.reason, Reason.NOT_READY)
-            fresh.faults.away = False
+            fresh.faults.unavailable = False
             self.assertIsNone(await fresh.gate.admit(grant_id, BUDGET, "x", 9, now_s))
 
         self.run_fleet(scenario)
@@ -192,7 +192,7 @@
             router, sidecar = fleet.routers[0], fleet.all_sidecars[0]
             await self.send(fleet, [router], 1)
             grant_id = next(iter(next(iter(router.budget_manager.wallets())).grants))
-            sidecar.faults.away = True
+            sidecar.faults.unavailable = True
             results = []
             for number in range(4):
                 refused = await sidecar.gate.admit(
@@ -201,7 +201,7 @@
                 results.append(refused.reason if refused else None)
             self.assertEqual(results[:2], [None, None])
             self.assertEqual(results[2:], [Reason.NOT_READY] * 2)
-            sidecar.faults.away = False
+            sidecar.faults.unavailable = False
             self.assertIsNone(
                 await sidecar.gate.admit(grant_id, BUDGET, "y", 3_000, fleet.clock())
             )
@@ -269,7 +269,7 @@
             donor, borrower = fleet.routers[:2]
             await self.send(fleet, [donor], 10)
             for router in fleet.routers:
-                router.faults.away = True
+                router.faults.unavailable = True
             await self.send(fleet, [borrower], 4, used_tokens=200)
             borrowed = [
                 grant_id
@@ -281,7 +281,7 @@
             fleet.kill(donor)
             await fleet.recover(donor.instance_id, within_s=20)
             for router in fleet.routers:
-                router.faults.away = False
+                router.faults.unavailable = False
             await anyio.sleep(60)
             fleet.unsealable.clear()
             self.assertIsNotNone(await fleet.recover(donor.instance_id))
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -335,7 +335,7 @@
                 await create_template(self.table, self.operation(), name, Parameters())
             rows = self.table._partitions["config-change"]
             del rows["000000000002"]
-            self.table._sorted["config-change"].remove("000000000002")
+            self.table._sort_keys["config-change"].remove("000000000002")
             return await load_changes(self.table, 0, timeout_s=1)
 
         self.assertEqual(anyio.run(run).reason, Reason.NOT_FOUND)
--- a/tests/test_http_server.py
+++ b/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""What a stranger's connection can make the HTTP server hold, over a socket."""
+"""Tests of the HTTP server's limits and socket options, over sockets."""
 
 import contextlib
 import json
@@ -7,7 +7,7 @@
 
 import anyio
 
-from endivegw.daemons.http_messages import header_bound
+from endivegw.daemons.http_messages import header_limit
 from endivegw.http_server import serve_asgi
 
 MAX_HEADER_BYTES = 4096
@@ -15,7 +15,7 @@
 
 
 class Application:
-    """Read each request to its end, then answer with the body's length."""
+    """Read each request completely, then respond with the length of its body."""
 
     def __init__(self):
         self.paths = []
@@ -45,7 +45,7 @@
 
 
 async def send_endlessly(stream, piece, limit_bytes=8 * 2**20):
-    """Return how much went out before the server closed."""
+    """Return the number of bytes sent before the server closed the connection."""
     sent_bytes = 0
     with contextlib.suppress(anyio.BrokenResourceError):
         while sent_bytes < limit_bytes:
@@ -56,21 +56,21 @@
 
 
 class DelayTest(unittest.TestCase):
-    """An answer's pieces wait in the kernel for the client's acknowledgement.
+    """With Nagle's algorithm, response chunks wait for the client's acknowledgement.
 
-    Clients put their acknowledgements off for some 40 ms, and a caller sees each
-    token late by so much.
+    Clients delay acknowledgements by about 40 ms, and each token would reach the
+    caller that much later.
     """
 
-    def test_pieces_leave_at_once(self):
-        """Each connection of the server sends small pieces at once."""
-        delays = []
+    def test_chunks_are_sent_immediately(self):
+        """Each connection of the server has TCP_NODELAY set."""
+        nodelay_values = []
 
         async def application(scope, receive, send):
             transport = receive.__self__.transport
             accepted = transport.get_extra_info("socket")
             level, option = socket.IPPROTO_TCP, socket.TCP_NODELAY
-            delays.append(accepted.getsockopt(level, option))
+            nodelay_values.append(accepted.getsockopt(level, option))
             await send({"type": "http.response.start", "status": 204, "headers": []})
             await send({"type": "http.response.body", "body": b""})
 
@@ -83,15 +83,15 @@
                 tasks.cancel_scope.cancel()
 
         anyio.run(run)
-        self.assertNotEqual(delays, [])
-        self.assertNotIn(0, delays)
+        self.assertNotEqual(nodelay_values, [])
+        self.assertNotIn(0, nodelay_values)
 
 
-class HeaderBoundTest(unittest.TestCase):
-    """A client without a key sends a head that is longer than the settings allow.
+class HeaderLimitTest(unittest.TestCase):
+    """An unauthenticated client sends a header section larger than the settings allow.
 
-    Without a bound the router would keep it all, and be stopped by its machine
-    with every open answer.
+    Without a limit the router would buffer it all until the machine kills the process
+    together with all responses in progress.
     """
 
     def run_with_server(self, job):
@@ -100,7 +100,7 @@
         async def run():
             with anyio.fail_after(20):
                 async with anyio.create_task_group() as tasks:
-                    bound = header_bound(MAX_HEADER_BYTES)
+                    limit = header_limit(MAX_HEADER_BYTES)
 
                     async def serve(*, task_status):
                         await serve_asgi(
@@ -108,7 +108,7 @@
                             "127.0.0.1",
                             0,
                             graceful_s=0,
-                            header_bound=bound,
+                            header_limit=limit,
                             task_status=task_status,
                         )
 
@@ -130,8 +130,8 @@
         self.assertEqual(error["code"], "headers_too_large")
         self.assertEqual(error["type"], "invalid_request_error")
 
-    def test_whole_head_above_the_bound(self):
-        """A head that is complete but too long is refused and not run."""
+    def test_complete_header_above_the_limit(self):
+        """A complete but too large header section is refused and not run."""
 
         async def job(stream):
             value = b"x" * MAX_HEADER_BYTES
@@ -145,7 +145,7 @@
         self.assertEqual(application.paths, [])
 
     def test_many_small_fields(self):
-        """Fields that are too long only together are refused."""
+        """Small fields that exceed the limit only in total are refused."""
 
         async def job(stream):
             fields = b"".join(b"x-%d: %s\r\n" % (n, b"y" * 40) for n in range(200))
@@ -157,7 +157,7 @@
         self.assertEqual(application.paths, [])
 
     def test_long_request_line(self):
-        """The request's path counts too."""
+        """The request target counts towards the limit."""
 
         async def job(stream):
             path = b"/" + b"p" * MAX_HEADER_BYTES
@@ -169,7 +169,7 @@
         self.assertEqual(application.paths, [])
 
     def test_field_without_end(self):
-        """A field that never ends is cut off soon after the bound."""
+        """The connection of a field without end is closed soon after the limit."""
 
         async def job(stream):
             await stream.send(b"GET / HTTP/1.1\r\nhost: a\r\nx-a: ")
@@ -180,7 +180,7 @@
         self.assertEqual(application.paths, [])
 
     def test_trailer_without_end(self):
-        """A trailer after a body is bounded like a header field."""
+        """The limit applies to a trailer field after the body as well."""
 
         async def job(stream):
             await stream.send(CHUNKED_HEAD + b"5\r\nhello\r\n0\r\nx-a: ")
@@ -190,7 +190,7 @@
         self.assertLess(sent_bytes, 2**20)
 
     def test_ordinary_requests(self):
-        """Requests within the bound run, one after another, whatever their bodies."""
+        """Requests within the limit run one after another, regardless of body size."""
 
         async def job(stream):
             received = b""
--- a/tests/test_memory_table.py
+++ b/tests/test_memory_table.py
@@ -1,4 +1,4 @@
-"""The stand-in table keeps the promises that the product builds upon."""
+"""The stand-in table provides the guarantees that the product depends on."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 class MemoryTableTests(unittest.TestCase):
     def test_add_is_refused_below_the_minimum(self):
-        """A guarded addition takes effect only where the field is large enough."""
+        """An addition with a minimum takes effect only if the field is large enough."""
         table = MemoryTable()
         table.transact_now(Transaction((Put(KEY, {"available": 5}, 0),)))
         draw = Transaction((Add(KEY, {"available": -4}, {"available": 4}),))
@@ -21,7 +21,7 @@
         self.assertEqual(table.get(KEY).fields["available"], 1)
 
     def test_failed_condition_writes_nothing(self):
-        """One failed condition leaves every row of the transaction as it was."""
+        """One failed condition leaves all rows of the transaction unchanged."""
         table = MemoryTable()
         other = RowKey("grant", "g1")
         writes = (Put(other, {"size": 1}, 0), Put(KEY, {"available": 1}, 7))
@@ -30,8 +30,8 @@
         )
         self.assertIsNone(table.get(other))
 
-    def test_pages_continue_behind_the_last_row(self):
-        """A listing in pages names each row once, in order."""
+    def test_pages_continue_after_the_last_row(self):
+        """A listing in pages contains each row once, in order."""
         table = MemoryTable()
         for number in range(5):
             key = RowKey("p", f"a{number}")
--- a/tests/test_peer_security.py
+++ b/tests/test_peer_security.py
@@ -1,4 +1,4 @@
-"""Only the fleet's own processes can call a sidecar, over real sockets."""
+"""Only the fleet's own processes can call a sidecar; tested over sockets."""
 
 import contextlib
 import pathlib
@@ -9,13 +9,13 @@
 import anyio
 
 from endivegw.exceptions import PeerError, SettingsError
-from endivegw.peers import Broken, NotDelivered, SidecarClient
+from endivegw.peers import NotDelivered, OutcomeUnknown, SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as messages
 from endivegw.peers._generated.endivegw_peers_grpc import SidecarBase, SidecarStub
 from endivegw.peers.call_auth import (
     MAX_CLOCK_SKEW_S,
     CallTags,
-    NonceMemory,
+    NonceCache,
     derive_call_key,
     make_credentials,
     verify_credentials,
@@ -43,6 +43,8 @@
 
 
 class RecordingSidecar(SidecarBase):
+    """Record the calls that arrive, and optionally hang or delay heartbeats."""
+
     def __init__(self):
         self.calls = []
         self.hang = False
@@ -103,14 +105,16 @@
 
 
 async def run_attempt(client):
-    async with aclosing(client.execute(messages.ExecuteStart(attempt_id="a1"))) as all:
-        async for _ in all:
+    async with aclosing(
+        client.execute(messages.ExecuteStart(attempt_id="a1"))
+    ) as frames:
+        async for _ in frames:
             pass
 
 
-async def call_everything(client):
-    """Return how each call of a sidecar's client ended."""
-    endings = []
+async def make_all_calls(client):
+    """Return the outcome of each kind of call to a sidecar."""
+    outcomes = []
     seal = messages.SealRequest(grant_ids=["g1"])
     calls = [
         lambda: run_attempt(client),
@@ -124,114 +128,115 @@
         try:
             with anyio.fail_after(5):
                 await call()
-            endings.append("answered")
+            outcomes.append("answered")
         except PeerError as error:
-            endings.append(type(error))
-    return endings
+            outcomes.append(type(error))
+    return outcomes
 
 
 class PeerSecurityTests(unittest.TestCase):
     def attempt(self, server_security, security):
-        """Return how calls end, and which ones reached the sidecar."""
+        """Return the outcomes of all calls, and the calls that reached the sidecar."""
         sidecar = RecordingSidecar()
 
         async def main():
             async with serving(sidecar, server_security) as port:
                 client = SidecarClient("127.0.0.1", port, security, sender="router-1")
                 try:
-                    return await call_everything(client)
+                    return await make_all_calls(client)
                 finally:
                     client.close()
 
         return anyio.run(main), sidecar.calls
 
-    def test_members_are_answered(self):
-        """Each way of authentication lets the fleet's own calls through."""
+    def test_fleet_members_are_accepted(self):
+        """Each kind of authentication accepts calls of the fleet's own processes."""
         for security in (PlainPeers(), KEY, certificates("fleet")):
             with self.subTest(type(security).__name__):
-                endings, calls = self.attempt(security, security)
-                self.assertEqual(endings, ["answered"] * 6)
+                outcomes, calls = self.attempt(security, security)
+                self.assertEqual(outcomes, ["answered"] * 6)
                 self.assertEqual(len(calls), 6)
 
-    def test_stranger_without_a_key_reaches_nothing(self):
-        """Somebody in the network finds a sidecar's port. If it answered, they
-        could spend any budget and seal any grant.
+    def test_calls_without_a_key_are_refused(self):
+        """A third party in the network finds a sidecar's port. If its calls were
+        accepted, it could spend any budget and seal any grant.
         """
-        endings, calls = self.attempt(KEY, PlainPeers())
-        self.assertEqual(endings, [NotDelivered] * 6)
+        outcomes, calls = self.attempt(KEY, PlainPeers())
+        self.assertEqual(outcomes, [NotDelivered] * 6)
         self.assertEqual(calls, [])
 
-    def test_stranger_with_another_key_reaches_nothing(self):
-        """A process of another fleet is pointed at this one by mistake. Work of
-        strangers would be billed to this fleet's accounts.
+    def test_calls_with_another_key_are_refused(self):
+        """A process of another fleet is configured with an address of this fleet by
+        mistake. Its work would be billed to this fleet's accounts.
         """
         other = KeyedPeers((b"x" * 32,))
-        endings, calls = self.attempt(KEY, other)
-        self.assertEqual(endings, [NotDelivered] * 6)
+        outcomes, calls = self.attempt(KEY, other)
+        self.assertEqual(outcomes, [NotDelivered] * 6)
         self.assertEqual(calls, [])
 
-    def test_stranger_without_our_certificate_reaches_nothing(self):
-        """Somebody calls a sidecar with no certificate, or with one of another
-        authority, and must not get as far as a call.
+    def test_calls_without_a_fleet_certificate_are_refused(self):
+        """A third party connects to a sidecar without a certificate, or with a
+        certificate of another CA. No call may reach the sidecar.
         """
         fleet = certificates("fleet")
         stranger = certificates("stranger")
         stranger.client.verify_mode = 0
         for name, security in (("stranger", stranger), ("plain", PlainPeers())):
             with self.subTest(name):
-                endings, calls = self.attempt(fleet, security)
-                self.assertNotIn("answered", endings)
+                outcomes, calls = self.attempt(fleet, security)
+                self.assertNotIn("answered", outcomes)
                 self.assertEqual(calls, [])
 
-    def test_member_does_not_talk_to_a_strangers_server(self):
-        """A stranger listens under a sidecar's old address. Sent there, requests
-        of callers would be read, and refused seals would be believed.
+    def test_client_refuses_a_server_of_another_ca(self):
+        """A third party listens on a sidecar's former address. If the client sent its
+        calls there, callers' requests would be disclosed, and forged refusals of
+        seals would be accepted.
         """
-        endings, calls = self.attempt(certificates("stranger"), certificates("fleet"))
-        self.assertNotIn("answered", endings)
+        outcomes, calls = self.attempt(certificates("stranger"), certificates("fleet"))
+        self.assertNotIn("answered", outcomes)
         self.assertEqual(calls, [])
 
     def test_keys_can_be_replaced_process_by_process(self):
-        """While a key is replaced, half of the fleet signs with the old one."""
+        """While a key is being replaced, half of the fleet signs with the old key."""
         both = KeyedPeers((b"n" * 32, b"k" * 32))
-        endings, _ = self.attempt(both, KEY)
-        self.assertEqual(endings, ["answered"] * 6)
+        outcomes, _ = self.attempt(both, KEY)
+        self.assertEqual(outcomes, ["answered"] * 6)
 
     def test_old_call_is_refused(self):
-        """A recorded call is sent again an hour later; it is too old to count."""
+        """A recorded call is replayed an hour later and is refused as too old."""
         key = derive_call_key(KEY.keys[0], "/Seal", "router-1", 5_000, "n1")
         credentials = make_credentials(key, "router-1", 5_000, "n1")
         result = verify_credentials(
-            KEY.keys, "/Seal", credentials, NonceMemory(), 3_605.0
+            KEY.keys, "/Seal", credentials, NonceCache(), 3_605.0
         )
         self.assertIsInstance(result, Refused)
 
-    def test_lost_connection_leaves_no_cancellation_behind(self):
-        """A sidecar dies in the middle of a call. A timeout of the same task,
-        set before the call, ends later; it must end the wait and nothing else,
-        or the caller of that request gets no answer at all.
+    def test_lost_connection_leaves_no_pending_cancellation(self):
+        """A sidecar dies during a call. A timeout scope that the task entered before
+        the call expires later; it must cancel only the wait inside the scope.
+        Otherwise the caller of the request gets no response at all.
         """
 
         sidecar = RecordingSidecar()
         sidecar.hang = True
         outcome = []
 
-        async def serve(life, *, task_status):
-            with life:
+        async def serve(server_scope, *, task_status):
+            with server_scope:
                 await serve_peers(
                     [sidecar], "127.0.0.1", 0, KEY, task_status=task_status
                 )
 
-        async def end_after(life, wait_s):
+        async def cancel_after(server_scope, wait_s):
             await anyio.sleep(wait_s)
-            life.cancel()
+            server_scope.cancel()
 
         async def main():
-            life = anyio.CancelScope()
+            server_scope = anyio.CancelScope()
             async with anyio.create_task_group() as tasks:
-                port = await tasks.start(serve, life)
+                port = await tasks.start(serve, server_scope)
                 client = SidecarClient("127.0.0.1", port, KEY)
-                tasks.start_soon(end_after, life, 0.1)
+                tasks.start_soon(cancel_after, server_scope, 0.1)
                 with anyio.move_on_after(0.4):
                     try:
                         await client.heartbeat(messages.HeartbeatRequest(), 5)
@@ -242,17 +247,17 @@
                 client.close()
 
         anyio.run(main)
-        self.assertEqual(outcome, [Broken, "went on"])
+        self.assertEqual(outcome, [OutcomeUnknown, "went on"])
 
-    def test_late_heartbeat_is_not_taken_for_the_next_one(self):
-        """A sidecar is paused and answers a heartbeat after its timeout. Taken
-        for the answer to the next one, every view of it would be one too old,
-        and a drain be seen a whole interval late.
+    def test_late_heartbeat_reply_is_not_taken_for_the_next_one(self):
+        """A paused sidecar replies to a heartbeat after its timeout. If the reply were
+        taken for the reply to the next heartbeat, all later replies would be one
+        heartbeat old, and a drain would be detected one interval late.
         """
         sidecar = RecordingSidecar()
         sidecar.delays_s = [0.2, 0.2]
 
-        async def beat(client, revision, timeout_s):
+        async def send_heartbeat(client, revision, timeout_s):
             header = messages.Header(config_revision=revision)
             request = messages.HeartbeatRequest(header=header)
             reply = await client.heartbeat(request, timeout_s)
@@ -261,19 +266,21 @@
         async def main():
             async with serving(sidecar, KEY) as port:
                 client = SidecarClient("127.0.0.1", port, KEY)
-                with self.assertRaises(Broken):
-                    await beat(client, 1, 0.1)
+                with self.assertRaises(OutcomeUnknown):
+                    await send_heartbeat(client, 1, 0.1)
                 with anyio.move_on_after(0.1):
-                    await beat(client, 2, 5)
+                    await send_heartbeat(client, 2, 5)
                 await anyio.sleep(0.3)
-                answers = [await beat(client, number, 1) for number in (3, 4, 5)]
+                revisions = [
+                    await send_heartbeat(client, number, 1) for number in (3, 4, 5)
+                ]
                 client.close()
-                return answers
+                return revisions
 
         self.assertEqual(anyio.run(main), [3, 4, 5])
 
     def test_many_messages_in_one_call_keep_their_order(self):
-        """Tags are numbered, and long streams in both directions pass."""
+        """Tags are numbered per direction, so long streams in both are accepted."""
         sidecar = RecordingSidecar()
 
         async def main():
@@ -288,30 +295,30 @@
         expected = [(name, offset) for name in "abc" for offset in range(3)]
         self.assertEqual(frames, expected)
 
-    def test_recorded_call_is_not_taken_twice(self):
-        """Somebody records a seal or a heartbeat and sends it once more within
-        the allowed difference of clocks.
+    def test_replayed_call_is_refused(self):
+        """A third party records a call, such as a seal, and replays it within the
+        allowed clock difference.
         """
         key = derive_call_key(KEY.keys[0], "/Seal", "router-1", 5_000, "n1")
         credentials = make_credentials(key, "router-1", 5_000, "n1")
-        nonces = NonceMemory()
+        nonces = NonceCache()
         first = verify_credentials(KEY.keys, "/Seal", credentials, nonces, 5.0)
         self.assertEqual(first, Done(key))
         again = verify_credentials(KEY.keys, "/Seal", credentials, nonces, 6.0)
         self.assertIsInstance(again, Refused)
-        edge_s = 5.0 + MAX_CLOCK_SKEW_S
-        late = verify_credentials(KEY.keys, "/Seal", credentials, nonces, edge_s)
+        limit_s = 5.0 + MAX_CLOCK_SKEW_S
+        late = verify_credentials(KEY.keys, "/Seal", credentials, nonces, limit_s)
         self.assertIsInstance(late, Refused)
 
-    def test_credentials_hold_for_one_method(self):
-        """Credentials of a heartbeat, overheard, do not open a call that seals."""
+    def test_credentials_are_valid_for_one_method(self):
+        """Intercepted credentials of a heartbeat do not authenticate a seal call."""
         key = derive_call_key(KEY.keys[0], "/Heartbeat", "router-1", 5_000, "n1")
         credentials = make_credentials(key, "router-1", 5_000, "n1")
-        result = verify_credentials(KEY.keys, "/Seal", credentials, NonceMemory(), 5.0)
+        result = verify_credentials(KEY.keys, "/Seal", credentials, NonceCache(), 5.0)
         self.assertIsInstance(result, Refused)
 
-    def test_changed_doubled_and_reordered_messages_are_noticed(self):
-        """Somebody in the path changes a message, sends it twice or swaps two."""
+    def test_modified_repeated_and_reordered_messages_are_detected(self):
+        """A third party in the network path modifies, repeats or reorders messages."""
         key = b"c" * 32
         sender = CallTags(key, b"c")
         first, second = sender.add(b"one"), sender.add(b"two")
@@ -324,8 +331,8 @@
         receiver.remove(first)
         self.assertIsNone(receiver.remove(first))
 
-    def test_short_and_absent_keys_are_errors_of_the_settings(self):
-        """A key that could be guessed ends the start of a daemon."""
+    def test_short_and_missing_keys_are_settings_errors(self):
+        """A daemon must not start with a key that could be guessed."""
         with tempfile.TemporaryDirectory() as directory:
             path = pathlib.Path(directory) / "key"
             with self.assertRaises(SettingsError):
--- a/tests/test_platform_adapters.py
+++ b/tests/test_platform_adapters.py
@@ -1,4 +1,4 @@
-"""The adapters of the platform's services against the stand-in, over sockets."""
+"""Tests of the platform service clients against the stand-in, over sockets."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -47,8 +47,8 @@
 
 
 class DynamoTableTests(unittest.TestCase):
-    def test_each_kind_of_write_keeps_its_condition(self):
-        """Put, add, check and delete act as the in-memory table does."""
+    def test_each_kind_of_write_enforces_its_condition(self):
+        """Put, add, check and delete behave as on the in-memory table."""
 
         async def run():
             credentials = Credentials("key", "secret")
@@ -76,7 +76,7 @@
 
         anyio.run(run)
 
-    def test_field_that_was_never_written_counts_as_zero(self):
+    def test_absent_field_counts_as_zero(self):
         """An addition to an absent field starts at zero, also with a minimum."""
 
         async def run():
@@ -89,8 +89,8 @@
 
         anyio.run(run)
 
-    def test_pages_of_a_listing_join_up(self):
-        """A listing in pages returns each row once, and only of its prefix."""
+    def test_paged_scan_returns_each_row_once(self):
+        """A scan in pages returns each row with the prefix once, and no others."""
 
         async def run():
             async with table_service() as (platform, table):
@@ -111,10 +111,10 @@
 
         anyio.run(run)
 
-    def test_nothing_listening_is_refused(self):
+    def test_refused_connection_is_reported_as_refused(self):
         """
-        The table's machine is gone, and connections to it are refused. No
-        byte of the write left, so the operator may safely try again.
+        The table's machine was removed and connections to it are refused. No byte
+        of the write was sent, so the operator may safely retry it.
         """
 
         async def run():
@@ -128,8 +128,8 @@
 
     def test_lost_answer_is_unknown_and_took_effect(self):
         """
-        The write takes effect and its answer is lost on the way back. A caller
-        that took it for refused would repeat it, and a top-up would count twice.
+        A write takes effect and its response is lost. If the write were reported as
+        refused, the caller would retry it and a top-up would be added twice.
         """
 
         async def run():
@@ -145,8 +145,8 @@
 
     def test_outage_leaves_writes_unknown_and_reads_refused(self):
         """
-        The service answers with internal errors. It does not say whether a
-        write came before the error; a read changes nothing and is refused.
+        The service returns internal errors, which do not state whether a write took
+        effect. A read modifies no data and is reported as refused.
         """
 
         async def run():
@@ -159,10 +159,10 @@
 
         anyio.run(run)
 
-    def test_cut_off_client_times_out_while_others_are_served(self):
+    def test_partitioned_client_times_out_and_recovers(self):
         """
-        A partition separates one daemon from the table. Its calls end within
-        their time, and the daemons on the other side notice nothing.
+        A network partition isolates one daemon from the table. Its calls end within
+        their timeout, and succeed after the partition has healed.
         """
 
         async def run():
@@ -176,10 +176,10 @@
 
         anyio.run(run)
 
-    def test_answer_that_is_not_the_tables_is_refused(self):
+    def test_malformed_response_is_refused(self):
         """
-        A proxy in between answers 200 with a page of its own. A daemon that
-        fell over it would end the answers in progress.
+        An intermediate proxy responds 200 with its own HTML page. A daemon that
+        crashed on the page would truncate all responses in progress.
         """
 
         async def page(scope, receive, send):
@@ -196,10 +196,10 @@
         for result in anyio.run(run):
             self.assertEqual(result.reason, Reason.UNREACHABLE)
 
-    def test_read_of_many_rows_ends_within_its_time(self):
+    def test_read_of_many_rows_ends_within_its_timeout(self):
         """
-        A read of 250 rows takes three calls of a slow table. The caller's
-        time is for all of them together.
+        A read of 250 rows takes three calls to a slow table. The caller's timeout
+        applies to all of them together.
         """
 
         async def run():
@@ -216,8 +216,8 @@
 
 
 class OtherServicesTests(unittest.TestCase):
-    def test_objects_are_written_under_their_tag(self):
-        """A writer with an old tag is refused and the newer object stays."""
+    def test_conditional_object_writes(self):
+        """A write with an outdated tag is refused and the newer object remains."""
 
         async def run():
             platform = StandinPlatform()
@@ -239,8 +239,8 @@
 
         anyio.run(run)
 
-    def test_list_of_machines_and_sizes_of_weights_are_read(self):
-        """The list comes back typed; the weight store limits its rate."""
+    def test_vm_list_and_weight_sizes_are_read(self):
+        """The VM list is parsed, and throttling by the weight store is reported."""
 
         async def run():
             vm = ListedVm("vm-1", "10.0.0.1", "erie", "router", VmState.LEAVING)
