--- a/tests/test_platform_guard.py
+++ b/tests/test_platform_guard.py
@@ -1,4 +1,4 @@
-"""Guarded calls end in time, and a service in trouble is not made worse."""
+"""Guarded calls end within their timeout and do not overload a failing service."""
 
 import random
 import unittest
@@ -7,9 +7,14 @@
 
 from endivegw.results import Done, Reason, Refused, Unknown
 from endivegw.services import Put, RowKey, Transaction
-from endivegw.services.circuit import Admitted, Circuit, CircuitSettings, Held
+from endivegw.services.circuit import (
+    Admitted,
+    CircuitBreaker,
+    CircuitBreakerSettings,
+    Rejected,
+)
 from endivegw.services.guarded import GuardedTable, GuardedWeightStore
-from endivegw.services.rate_cap import RateCap, TableShares
+from endivegw.services.rate_cap import RateLimiter, TableShares
 from endivegw_standins.memory_table import MemoryTable
 
 KEY = RowKey("config", "revision")
@@ -17,21 +22,21 @@
 
 
 class ScriptedTable(MemoryTable):
-    """Answer calls from a list; the memory's own answer where it has ended."""
+    """Return results from a list, and the in-memory table's results after its end."""
 
-    def __init__(self, answers=(), delay_s=0.0):
+    def __init__(self, results=(), delay_s=0.0):
         super().__init__()
-        self.answers = list(answers)
+        self.results = list(results)
         self.delay_s = delay_s
         self.calls = 0
 
     async def _scripted(self, call):
         self.calls += 1
         await anyio.sleep(self.delay_s)
-        if self.answers:
-            answer = self.answers.pop(0)
-            if answer is not None:
-                return answer
+        if self.results:
+            result = self.results.pop(0)
+            if result is not None:
+                return result
         return await call()
 
     async def transact(self, transaction, *, timeout_s):
@@ -51,76 +56,76 @@
 
 class CircuitTests(unittest.TestCase):
     def setUp(self):
-        self.settings = CircuitSettings()
-        self.circuit = Circuit(self.settings, random=random.Random(5))
+        self.settings = CircuitBreakerSettings()
+        self.circuit = CircuitBreaker(self.settings, random=random.Random(5))
 
-    def open(self, now_s):
+    def open_circuit(self, now_s):
         for _ in range(self.settings.failures_to_open):
-            self.circuit.failed(now_s)
+            self.circuit.record_failure(now_s)
 
     def test_few_failures_do_not_open(self):
-        """One answer between failures starts the count again."""
+        """One answered call between failures resets the count."""
         for _ in range(20):
             for _ in range(self.settings.failures_to_open - 1):
-                self.assertIs(self.circuit.failed(0), False)
-            self.circuit.succeeded(0)
+                self.assertIs(self.circuit.record_failure(0), False)
+            self.circuit.record_success(0)
         self.assertEqual(self.circuit.admit(0), Admitted())
 
-    def test_one_probe_at_a_time_goes_through(self):
+    def test_one_probe_at_a_time_is_admitted(self):
         """
-        The table is away and a thousand requests wait for it. Callers hear so
-        at once, and the table meets one call when it comes back.
+        The table is unavailable while a thousand requests need it. Callers are
+        refused immediately, and the recovering table receives a single call.
         """
-        self.open(100)
-        self.assertIsInstance(self.circuit.admit(100.01), Held)
+        self.open_circuit(100)
+        self.assertIsInstance(self.circuit.admit(100.01), Rejected)
         admitted = [self.circuit.admit(101) for _ in range(1000)]
         self.assertEqual(admitted.count(Admitted(probe=True)), 1)
-        self.assertIs(self.circuit.succeeded(101.2), True)
+        self.assertIs(self.circuit.record_success(101.2), True)
         self.assertEqual(self.circuit.admit(101.2), Admitted())
 
-    def test_probes_thin_out_to_their_longest_wait(self):
-        """In a long outage one daemon probes each 2 to 4 s, and not less often."""
-        self.open(0)
+    def test_probe_delay_grows_to_its_maximum(self):
+        """In a long outage one daemon probes every 2 to 4 s, and not less often."""
+        self.open_circuit(0)
         probes, now_s = [], 0.0
         while now_s < 600:
             if self.circuit.admit(now_s) == Admitted(probe=True):
                 probes.append(now_s)
-                self.circuit.failed(now_s)
+                self.circuit.record_failure(now_s)
             now_s += 0.05
         gaps = [b - a for a, b in zip(probes[5:], probes[6:])]
         self.assertGreaterEqual(min(gaps), 1.95)
         self.assertLessEqual(max(gaps), 4.1)
 
-    def test_probe_whose_caller_vanished_does_not_block_for_good(self):
+    def test_abandoned_probe_expires(self):
         """
-        The request that carried the probe is cancelled by its caller. Without
-        a limit nobody would ever probe again and the daemon stayed cut off.
+        The caller cancels the request that carried the probe, and no outcome is
+        recorded. Without a timeout for probes the circuit would stay open indefinitely.
         """
-        self.open(0)
+        self.open_circuit(0)
         self.assertEqual(self.circuit.admit(10), Admitted(probe=True))
-        self.assertIsInstance(self.circuit.admit(15), Held)
+        self.assertIsInstance(self.circuit.admit(15), Rejected)
         self.assertEqual(self.circuit.admit(20.1), Admitted(probe=True))
 
     def test_withdrawn_probe_lets_the_next_call_probe(self):
-        """A probe that never left must not hold up the next one."""
-        self.open(0)
+        """A probe that was never sent must not delay the next one."""
+        self.open_circuit(0)
         self.assertEqual(self.circuit.admit(10), Admitted(probe=True))
-        self.circuit.withdrawn(10)
+        self.circuit.record_withdrawal(10)
         self.assertEqual(self.circuit.admit(10), Admitted(probe=True))
 
 
 class RateCapTests(unittest.TestCase):
-    def test_loop_is_slowed_to_the_share(self):
+    def test_read_loop_is_limited_to_the_share(self):
         """
-        A fault makes a daemon read in a loop. At the size of 1,020 daemons
-        all of them together stay within four times what the table bears, in
-        any ten seconds beyond the first burst.
+        A fault makes a daemon read in a loop. In a fleet of 1,020 daemons, all of
+        them together stay within four times the table's capacity in any ten seconds
+        after the first burst.
         """
         share = TableShares.of_fleet(1020)
-        cap = RateCap(share.reads_per_s)
+        limiter = RateLimiter(share.reads_per_s)
         now_s, calls = 0.0, 0
         while now_s < 100:
-            wait_s = cap.wait_s(now_s, 5.0)
+            wait_s = limiter.wait_s(now_s, 5.0)
             if wait_s is None:
                 now_s += 0.5
                 continue
@@ -131,10 +136,10 @@
 
 
 class GuardTests(unittest.TestCase):
-    def test_unknown_write_is_not_repeated(self):
+    def test_unknown_write_is_not_retried(self):
         """
-        The answer to a write is lost. A second try might do it twice, and so
-        the caller gets "unknown" after one.
+        The response to a write is lost. A retry could apply the write twice, so the
+        caller gets "unknown" after one attempt.
         """
         table = ScriptedTable([Unknown(Reason.ANSWER_LOST)])
 
@@ -144,8 +149,8 @@
         self.assertIsInstance(anyio.run(run), Unknown)
         self.assertEqual(table.calls, 1)
 
-    def test_write_that_never_left_is_tried_again(self):
-        """A connection refused once by a restarting machine is not an error."""
+    def test_unsent_write_is_retried(self):
+        """A restarting machine refuses one connection; the caller sees no error."""
         table = ScriptedTable([Refused(Reason.UNREACHABLE)])
 
         async def run():
@@ -154,8 +159,8 @@
         self.assertEqual(anyio.run(run), Done(None))
         self.assertEqual(table.calls, 2)
 
-    def test_conflict_is_an_answer(self):
-        """A conflict goes back at once and never opens the circuit."""
+    def test_conflict_is_not_a_failure(self):
+        """A conflict is returned without a retry and never opens the circuit."""
         table = ScriptedTable([Refused(Reason.CONFLICT)] * 30)
 
         async def run():
@@ -167,10 +172,10 @@
         anyio.run(run)
         self.assertEqual(table.calls, 30)
 
-    def test_hanging_service_ends_in_time_and_then_at_once(self):
+    def test_unresponsive_service_opens_the_circuit(self):
         """
-        The service takes calls and never answers. The first callers wait for
-        their timeout, later ones are refused without a wait.
+        The service accepts calls and never responds. The first callers wait for
+        their timeout, later callers are refused immediately.
         """
         table = ScriptedTable(delay_s=3600)
 
@@ -190,8 +195,8 @@
         anyio.run(run)
         self.assertEqual(table.calls, 5)
 
-    def test_equal_reads_at_the_same_time_share_one_call(self):
-        """A hundred requests that miss one row cost one read."""
+    def test_concurrent_equal_reads_share_one_call(self):
+        """A hundred requests that miss the same row cause one read."""
         table = ScriptedTable(delay_s=0.05)
 
         async def run():
@@ -211,8 +216,8 @@
 
     def test_read_after_a_write_sees_the_write(self):
         """
-        A read is on its way when the process writes the row and reads it
-        again. Joining the older read would show the row without the write.
+        A read is in progress when the process writes the row and reads it again.
+        Joining the older read would return the row without the write.
         """
 
         class SlowFirstRead(MemoryTable):
@@ -236,10 +241,10 @@
 
         anyio.run(run)
 
-    def test_weight_store_that_limits_its_rate_is_asked_when_it_says(self):
+    def test_throttled_weight_store_call_is_retried(self):
         """
-        Two sidecars want to load at the same moment, and the store turns one
-        away for a moment. The load must not fail for it.
+        Two sidecars load at the same time, and the store throttles one of them with
+        a retry delay. The load must not fail because of it.
         """
 
         class Limited:
@@ -259,10 +264,10 @@
         first, second = Limited.calls
         self.assertGreaterEqual(second - first, 0.19)
 
-    def test_cancelled_reader_leaves_no_one_waiting(self):
+    def test_cancelled_shared_read_is_repeated(self):
         """
-        The request whose read others share is cancelled. The others must
-        get an answer of their own.
+        The request whose read others share is cancelled. The other requests must
+        still get a result.
         """
         table = ScriptedTable(delay_s=0.05)
 
@@ -270,17 +275,17 @@
             guard = guarded(table)
             results = []
 
-            async def impatient():
+            async def cancelled_reader():
                 with anyio.move_on_after(0.01):
                     await guard.read((KEY,), timeout_s=1)
 
-            async def patient():
+            async def waiting_reader():
                 await anyio.sleep(0.005)
                 results.append(await guard.read((KEY,), timeout_s=1))
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(impatient)
-                tasks.start_soon(patient)
+                tasks.start_soon(cancelled_reader)
+                tasks.start_soon(waiting_reader)
             self.assertEqual(results, [Done((None,))])
 
         anyio.run(run)
--- a/tests/test_request_body.py
+++ b/tests/test_request_body.py
@@ -12,7 +12,7 @@
 from endivegw.daemons.routed import RoutedRequest, ServiceCall
 from endivegw.daemons.sidecar_links import SidecarLink
 from endivegw.decisions import Placement, PlacementFigures
-from endivegw.peers import Broken
+from endivegw.peers import OutcomeUnknown
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.results import Reason, Refused
 from endivegw.telemetry import EventLog, NoMetrics
@@ -31,7 +31,7 @@
         if len(self.orders) == 1:
             await anext(body)
             if self.first == "broken":
-                raise Broken("the connection broke")
+                raise OutcomeUnknown("the connection broke")
             yield pb.Frame(
                 attempt_id=start.attempt_id, refused=pb.Refusal(reason=self.first)
             )
--- a/tests/test_row_feed.py
+++ b/tests/test_row_feed.py
@@ -9,7 +9,7 @@
 
 from endivegw.daemons.row_feed import RowFeed
 from endivegw.results import Done, Reason, Unknown
-from endivegw.services.row_store import Changes, StoredRow, StoreMoment
+from endivegw.services.row_store import Changes, StoredRow, StoreTimestamp
 from endivegw.telemetry import EventLog
 
 
@@ -40,7 +40,7 @@
             StoredRow("op", "config", b"%d" % number, number, False)
             for number in range(first, last + 1)
         )
-        return Changes(rows, StoreMoment(last, 0))
+        return Changes(rows, StoreTimestamp(last, 0))
 
 
 class Reader:
--- a/tests/test_sidecar_claims.py
+++ b/tests/test_sidecar_claims.py
@@ -69,7 +69,7 @@
         self.rig = Rig(self.service, instance=f"s{self.instances}")
         self.scope = anyio.CancelScope()
         self.rig.port = await self.tasks.start(self._serve)
-        if not self.faults.away:
+        if not self.faults.unavailable:
             await self.owned()
 
     def desk_at(self, port):
@@ -257,11 +257,11 @@
         async with fleet_of_one() as fleet:
             router = fleet.router()
             await router.run("before")
-            fleet.faults.away = True
+            fleet.faults.unavailable = True
             ending = await router.run("during", deadline_s=8.0)
             again = await fleet_retry(fleet, router, "during")
             written = fleet.memory.writes
-            fleet.faults.away = False
+            fleet.faults.unavailable = False
             await anyio.sleep(2.5)
         self.assertIs(ending.outcome, Outcome.ANSWERED)
         self.assertIs(again.outcome, Outcome.ANSWERED)
@@ -275,7 +275,7 @@
         booking is made all the same, once.
         """
         async with fleet_of_one() as fleet:
-            fleet.faults.lose_answer = 0.5
+            fleet.faults.lost_answer_share = 0.5
             router = fleet.router()
             endings = [await router.run(f"k{n}", deadline_s=8.0) for n in range(3)]
         outcomes = {ending.outcome for ending in endings}
@@ -324,7 +324,7 @@
         async with fleet_of_one() as fleet:
             router = fleet.router()
             await anyio.sleep(0.1)
-            fleet.faults.away = True
+            fleet.faults.unavailable = True
             fleet.stop_sidecar()
             ending = await router.run(deadline_s=0.5)
         self.assertIs(ending.outcome, Outcome.UNKNOWN)
--- a/tests/test_sidecar_execute.py
+++ b/tests/test_sidecar_execute.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from endivegw.peers import Broken, NotDelivered, SidecarClient
+from endivegw.peers import NotDelivered, OutcomeUnknown, SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from tests.sidecar_fakes import FakeEngine, FakeService, kind_of, served, text_of
 
@@ -66,7 +66,7 @@
         """
         async with served(FakeEngine(pause_s=0.1)) as rig:
             client = SidecarClient("127.0.0.1", rig.port)
-            with self.assertRaises(Broken):
+            with self.assertRaises(OutcomeUnknown):
                 async for frame in client.execute(rig.start_message()):
                     if frame.data:
                         rig.stop()
--- a/tests/test_table_rows.py
+++ b/tests/test_table_rows.py
@@ -1,4 +1,4 @@
-"""Rows with revisions in the transactional table, and the starts of engines."""
+"""Tests of the row store on the transactional table, and of engine start ids."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 
 
 def expected(key: str, revision: int) -> ExpectedRow:
-    """Return a row as a writer knows it."""
+    """Return a row with the revision that a writer expects."""
     return ExpectedRow(QUARANTINE_TABLE, key, revision)
 
 
 def new(key: str, value: bytes) -> NewRow:
-    """Return a row as it is to be."""
+    """Return a row to be written."""
     return NewRow(QUARANTINE_TABLE, key, value)
 
 
 class TableRowsTests(unittest.TestCase):
-    """Two writers of the same row find out about each other."""
+    """Concurrent writers of one row get conflicts instead of lost updates."""
 
-    def test_a_row_that_moved_on_is_not_overwritten(self) -> None:
-        """Guards against evidence that two routers overwrite for each other."""
+    def test_stale_write_conflicts(self) -> None:
+        """Two routers must not overwrite each other's evidence."""
 
-        async def play() -> None:
+        async def run() -> None:
             rows = TableRows(MemoryTable())
             first = await rows.transact(
                 (expected("a", 0),), (new("a", b"1"),), timeout_s=1.0
             )
             assert isinstance(first, Done)
-            lost = await rows.transact(
+            conflict = await rows.transact(
                 (expected("a", 0),), (new("a", b"2"),), timeout_s=1.0
             )
-            assert isinstance(lost, Conflict)
-            self.assertEqual(lost.rows[0].value, b"1")
-            self.assertEqual(lost.rows[0].revision, first.value.revision)
+            assert isinstance(conflict, Conflict)
+            self.assertEqual(conflict.rows[0].value, b"1")
+            self.assertEqual(conflict.rows[0].revision, first.value.revision)
             again = await rows.transact(
-                (expected("a", lost.rows[0].revision),),
+                (expected("a", conflict.rows[0].revision),),
                 (new("a", b"12"),),
                 timeout_s=1.0,
             )
@@ -54,38 +54,40 @@
             found = [(row.key, row.value) for row in listed.value.rows]
             self.assertEqual(found, [("a", b"12")])
 
-        anyio.run(play)
+        anyio.run(run)
 
-    def test_a_row_is_deleted_at_the_revision_that_was_read(self) -> None:
-        """Guards against a row that is deleted though a request came again."""
+    def test_delete_requires_the_current_revision(self) -> None:
+        """A row must not be deleted after it was written again for a new request."""
 
-        async def play() -> None:
+        async def run() -> None:
             rows = TableRows(MemoryTable())
             for revision in (0, 1):
                 await rows.transact(
                     (expected("a", revision),), (new("a", b"1"),), timeout_s=1.0
                 )
-            lost = await rows.transact((), (), deletes=(expected("a", 1),), timeout_s=1)
-            self.assertIsInstance(lost, Conflict)
+            conflict = await rows.transact(
+                (), (), deletes=(expected("a", 1),), timeout_s=1
+            )
+            self.assertIsInstance(conflict, Conflict)
             done = await rows.transact((), (), deletes=(expected("a", 2),), timeout_s=1)
             self.assertIsInstance(done, Done)
             listed = await rows.list_rows(QUARANTINE_TABLE, timeout_s=1.0)
             assert isinstance(listed, Done)
             self.assertEqual(listed.value.rows, ())
-            gone = await rows.transact(
+            absent = await rows.transact(
                 (expected("a", 2),), (new("a", b"1"),), timeout_s=1.0
             )
-            assert isinstance(gone, Conflict)
-            self.assertTrue(gone.rows[0].deleted)
+            assert isinstance(absent, Conflict)
+            self.assertTrue(absent.rows[0].deleted)
 
-        anyio.run(play)
+        anyio.run(run)
 
 
 class EngineStartsTests(unittest.TestCase):
-    """Generations of one engine name the start that they belong to."""
+    """Generations of one engine refer to the engine start that they belong to."""
 
-    def test_one_end_has_one_name(self) -> None:
-        """Guards against one end of an engine that counts for each generation."""
+    def test_one_termination_has_one_id(self) -> None:
+        """One termination of an engine must not be counted once per generation."""
         starts = EngineStarts(InstanceId("s-1"))
         first = second = starts.number
         self.assertEqual(starts.ended(first), "s-1.1")
