--- a/src/endivegw/composition/process.py
+++ b/src/endivegw/composition/process.py
@@ -11,8 +11,8 @@
 
 from endivegw.composition.platform import Platform, open_platform
 from endivegw.configuration.agent import ConfigurationAgent
-from endivegw.daemons.headers import ProcessIdentity, header_writer
-from endivegw.daemons.peer_book import PeerBook
+from endivegw.daemons.headers import ProcessIdentity, header_factory
+from endivegw.daemons.peer_directory import PeerDirectory
 from endivegw.daemons.vm_listings import others_by_zone
 from endivegw.peers import (
     PeerSecurity,
@@ -48,7 +48,7 @@
     platform: Platform
     security: PeerSecurity
     configuration: ConfigurationAgent
-    book: PeerBook
+    peer_directory: PeerDirectory
     header: Callable[[], pb.Header]
     on_header: Callable[[pb.Header], None]
     connect_router: Callable[[str, int], RouterClient]
@@ -99,23 +99,25 @@
 
     # The book calls peers with this process's header, which carries the revision
     # of the configuration, which in turn is fetched through the book.
-    book = PeerBook(connect_router, connect_sidecar, lambda: header(), clock)
+    peer_directory = PeerDirectory(
+        connect_router, connect_sidecar, lambda: header(), clock
+    )
     process_log = log(name)
     configuration = ConfigurationAgent(
         daemon=process.vm,
         local_zone=process.availability_zone,
         table=platform.table,
         objects=platform.objects,
-        peers=book,
+        peers=peer_directory,
         random_source=rng,
         daemons=platform_settings.fleet_daemons,
         reports=reports,
         log=process_log,
     )
-    header = header_writer(identity, configuration, grant_holder)
+    header = header_factory(identity, configuration, grant_holder)
 
     def on_header(received: pb.Header) -> None:
-        sender = book.heard(received)
+        sender = peer_directory.receive_header(received)
         configuration.on_peer_revision(
             sender.instance_id,
             sender.availability_zone,
@@ -123,16 +125,16 @@
             name=sender.vm,
         )
 
-    def on_reading(vms: tuple[ListedVm, ...], now_s: float) -> None:
+    def on_vms_listed(vms: tuple[ListedVm, ...], now_s: float) -> None:
         configuration.view.update_fleet_size(others_by_zone(vms, process.vm))
 
-    platform.vms.on_reading(on_reading)
+    platform.vms.on_vms_listed(on_vms_listed)
     return Process(
         identity=identity,
         platform=platform,
         security=security,
         configuration=configuration,
-        book=book,
+        peer_directory=peer_directory,
         header=header,
         on_header=on_header,
         connect_router=connect_router,
--- a/src/endivegw/composition/router.py
+++ b/src/endivegw/composition/router.py
@@ -7,16 +7,16 @@
 from endivegw.composition.process import Process, metrics_of, open_process
 from endivegw.configuration import Snapshot
 from endivegw.daemons.claim_client import ClaimClient
-from endivegw.daemons.lent_grants import LentGrants
-from endivegw.daemons.peer_book import ROUTER_ROLE
+from endivegw.daemons.lent_grants import StrandedGrantRecovery
+from endivegw.daemons.peer_directory import ROUTER_ROLE
 from endivegw.daemons.placement_queue import PlacementQueue
 from endivegw.daemons.recovery_watch import RecoveryOptions, RecoveryWatch
 from endivegw.daemons.request_plan import PREFIX_SCHEME
 from endivegw.daemons.request_runner import RunnerParts
 from endivegw.daemons.router import Router, RouterParts
-from endivegw.daemons.router_news import RouterNews
-from endivegw.daemons.router_watch import RouterWatch
-from endivegw.daemons.seal_calls import SealCalls
+from endivegw.daemons.router_news import EvidenceBroadcaster
+from endivegw.daemons.router_watch import RouterHeartbeats
+from endivegw.daemons.seal_calls import SealClient
 from endivegw.daemons.slot_map_reader import SlotMapReader
 from endivegw.daemons.target_watch import TargetWatch
 from endivegw.daemons.token_transfers import TokenTransfers
@@ -54,20 +54,20 @@
         process.platform.table,
         process.clock,
         process.rng,
-        TokenTransfers(process.book, process.header),
+        TokenTransfers(process.peer_directory, process.header),
         process.log,
     )
     watch = _target_watch(settings, process, queue)
-    news = RouterNews(
+    broadcaster = EvidenceBroadcaster(
         process.identity.instance_id,
-        process.book,
+        process.peer_directory,
         process.header,
         lambda evidence: quarantine.receive(evidence),
         process.rng,
     )
     quarantine = QuarantineManager(
         TableRows(process.platform.table),
-        news.broadcast,
+        broadcaster.broadcast,
         process.rng,
         process.clock,
         process.log,
@@ -86,7 +86,7 @@
         log=process.log,
         metrics=metrics_of(settings.logs, "endivegw.router"),
     )
-    seals = SealCalls(
+    seals = SealClient(
         process.platform.vms,
         process.connect_sidecar,
         settings.peers.sidecar_port,
@@ -103,11 +103,13 @@
         watch=watch,
         routers=_router_watch(settings, process),
         recovery=_recovery_watch(settings, process, recovery, seals),
-        lent=LentGrants(budget_manager, recovery, seals, process.clock),
+        stranded_grants=StrandedGrantRecovery(
+            budget_manager, recovery, seals, process.clock
+        ),
         slots=slots,
         runner=runner,
-        book=process.book,
-        news=news,
+        peer_directory=process.peer_directory,
+        broadcaster=broadcaster,
         header=process.header,
         on_header=process.on_header,
         security=process.security,
@@ -157,8 +159,8 @@
     return wanted
 
 
-def _router_watch(settings: RouterSettings, process: Process) -> RouterWatch:
-    return RouterWatch(
+def _router_watch(settings: RouterSettings, process: Process) -> RouterHeartbeats:
+    return RouterHeartbeats(
         settings.process.vm,
         settings.process.availability_zone,
         process.platform.vms,
@@ -171,7 +173,7 @@
 
 
 def _recovery_watch(
-    settings: RouterSettings, process: Process, recovery: Recovery, seals: SealCalls
+    settings: RouterSettings, process: Process, recovery: Recovery, seals: SealClient
 ) -> RecoveryWatch:
     return RecoveryWatch(
         settings.process.vm,
--- a/src/endivegw/composition/sidecar.py
+++ b/src/endivegw/composition/sidecar.py
@@ -9,7 +9,7 @@
 from endivegw.composition.process import Process, metrics_of, open_process
 from endivegw.configuration import TargetKind
 from endivegw.daemons.claim_desk import DeskSettings, SlotDesk
-from endivegw.daemons.peer_book import TARGET_ROLE
+from endivegw.daemons.peer_directory import TARGET_ROLE
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.daemons.sidecar_configuration import SidecarConfiguration
 from endivegw.daemons.sidecar_jobs import EngineTarget, ServiceTarget, Target
@@ -72,7 +72,7 @@
         target=adapter,
         security=process.security,
         orders=_open_orders(settings, process, adapter),
-        book=process.book,
+        peer_directory=process.peer_directory,
         log=process.log,
     )
     return SidecarProcess(parts)
--- a/src/endivegw/daemons/background.py
+++ b/src/endivegw/daemons/background.py
@@ -14,11 +14,12 @@
 
 
 class Background:
-    """Start tasks in a group, and keep one that fails from ending all others.
+    """Start tasks in a task group and contain the errors of each.
 
-    What settles one request after its caller went away must not, where a check
-    stops it, take every other caller's request with it: an error in a task
-    group cancels the whole group, and the group is the daemon.
+    An error that escapes from a task cancels its whole task group, which here is
+    the whole daemon. The cleanup of one request after its caller disconnected must
+    therefore not raise when an internal check fails, or it would end the requests
+    of all other callers.
     """
 
     def __init__(self, tasks: TaskGroup, log: EventLog) -> None:
@@ -26,7 +27,7 @@
         self._log = log
 
     def start_soon(self, run: Callable[..., Awaitable[Any]], *arguments: Any) -> None:
-        """Start a task; an error of the package's own is logged and ends it."""
+        """Start a task; an :class:`EndivegwError` is logged and ends only that task."""
         self._tasks.start_soon(self._run, run, arguments)
 
     async def _run(
--- a/src/endivegw/daemons/callers.py
+++ b/src/endivegw/daemons/callers.py
@@ -1,4 +1,4 @@
-"""Who a caller is and what it asks for beside its body; pure."""
+"""Authenticate callers and parse the header fields of their requests, without I/O."""
 
 from __future__ import annotations
 
@@ -27,10 +27,12 @@
 
 @frozen
 class Caller:
-    """Hold what the header fields of one request say.
+    """Hold the account of a caller and the parsed header fields of its request.
 
-    :param deadline_s: on the router's clock.
-    :param says_repeatable: the caller's own word, None where it gave none.
+    :param deadline_s: time on the router's clock.
+    :param arrived_s: time on the router's clock.
+    :param declared_repeatable: the caller's ``endivegw-repeatable`` field, None if
+        the field is absent.
     """
 
     account: AccountParameters
@@ -38,89 +40,96 @@
     idempotency_key: str | None
     deadline_s: float
     arrived_s: float
-    says_repeatable: bool | None
+    declared_repeatable: bool | None
     request_id: str
 
     @property
     def keyed(self) -> bool:
-        """Return whether the caller named the request."""
+        """Return whether the request has an idempotency key."""
         return self.idempotency_key is not None
 
     @property
     def fields(self) -> tuple[tuple[str, str], ...]:
-        """Return the header fields of every answer to this request."""
+        """Return the header fields to add to every answer to this request."""
         return ((_REQUEST_ID, self.request_id),)
 
 
 def identify(
     headers: Mapping[str, str], snapshot: Snapshot, limits: HttpLimits, now_s: float
 ) -> Caller | Refused:
-    """Return the caller, or why its request is not taken.
+    """Return the caller, or the reason why its request is refused.
 
-    :param headers: names in lower case.
+    :param headers: header fields, with names in lower case.
+    :param now_s: time on the router's clock.
     """
     scheme, _, key = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
-        return Refused(Reason.BAD_KEY, "send your key as a bearer token")
+        return Refused(Reason.BAD_KEY, "the API key must be sent as a bearer token")
     digest = hashlib.sha256(key.strip().encode()).hexdigest()
     account = snapshot.find_account_by_key_hash(digest)
     if account is None:
-        return Refused(Reason.BAD_KEY, "this key is not valid")
-    allowed_s = _allowed_s(headers.get(DEADLINE_HEADER), limits)
-    if isinstance(allowed_s, Refused):
-        return allowed_s
+        return Refused(Reason.BAD_KEY, "the API key is not valid")
+    timeout_s = _parse_timeout_s(headers.get(DEADLINE_HEADER), limits)
+    if isinstance(timeout_s, Refused):
+        return timeout_s
     budget = headers.get(BUDGET_HEADER, account.default_budget().budget)
     if budget not in account.budgets:
-        return Refused(Reason.BUDGET_UNKNOWN, f"there is no budget {budget!r}")
+        return Refused(Reason.BUDGET_UNKNOWN, f"budget {budget!r} not found")
     idempotency_key = headers.get(IDEMPOTENCY_HEADER)
     if idempotency_key is not None and len(idempotency_key) > _MAX_KEY_LENGTH:
         return Refused(
             Reason.BAD_REQUEST,
-            f"{IDEMPOTENCY_HEADER} is over {_MAX_KEY_LENGTH} characters",
+            f"{IDEMPOTENCY_HEADER} of {len(idempotency_key)} characters "
+            f"exceeds the limit of {_MAX_KEY_LENGTH}",
         )
-    word = headers.get(REPEATABLE_HEADER)
-    if word not in (None, "yes", "no"):
-        return Refused(Reason.BAD_REQUEST, f"{REPEATABLE_HEADER} takes yes or no")
+    repeatable = headers.get(REPEATABLE_HEADER)
+    if repeatable not in (None, "yes", "no"):
+        return Refused(Reason.BAD_REQUEST, f"{REPEATABLE_HEADER} must be 'yes' or 'no'")
     return Caller(
         account=account,
         budget=BudgetKey(account.client_account, budget),
         idempotency_key=idempotency_key or None,
-        deadline_s=now_s + allowed_s,
+        deadline_s=now_s + timeout_s,
         arrived_s=now_s,
-        says_repeatable=None if word is None else word == "yes",
+        declared_repeatable=None if repeatable is None else repeatable == "yes",
         request_id=uuid.uuid4().hex,
     )
 
 
 def is_plain_path(path: str) -> bool:
-    """Return whether a decoded path means at the service what it says here.
+    """Return whether a decoded path has no ``.`` or ``..`` segments.
 
-    A service takes ``status/../notices`` for ``notices``. Passed on, it would
-    run a call that may not be repeated under the rules of one that may.
+    A service resolves ``status/../notices`` to ``notices``. If such a path were
+    forwarded, a call that may not be repeated would be matched against the prefix
+    of one that may.
     """
     return not {".", ".."} & set(path.replace("\\", "/").split("/"))
 
 
-def is_repeatable(account: AccountParameters, named: str) -> bool:
+def is_repeatable(account: AccountParameters, service_path: str) -> bool:
     """Return whether a service's path lies below a repeatable prefix.
 
-    :param named: the service's name and the path, as in ``lobby-app/status/7``.
+    :param service_path: the service's name and the path, as in
+        ``lobby-app/status/7``.
     """
     prefixes = (prefix.strip("/") for prefix in account.repeatable_paths)
-    return any(named == prefix or named.startswith(f"{prefix}/") for prefix in prefixes)
+    return any(
+        service_path == prefix or service_path.startswith(f"{prefix}/")
+        for prefix in prefixes
+    )
 
 
-def _allowed_s(text: str | None, limits: HttpLimits) -> float | Refused:
+def _parse_timeout_s(text: str | None, limits: HttpLimits) -> float | Refused:
     if text is None:
         return limits.default_deadline_s
     try:
-        allowed_s = float(text)
+        timeout_s = float(text)
     except ValueError:
-        allowed_s = -1.0
-    if not 0.0 < allowed_s <= limits.max_deadline_s:
+        timeout_s = -1.0
+    if not 0.0 < timeout_s <= limits.max_deadline_s:
         return Refused(
             Reason.BAD_REQUEST,
-            f"{DEADLINE_HEADER} takes seconds, above 0 "
-            f"and up to {limits.max_deadline_s:g}",
+            f"{DEADLINE_HEADER} must be a number of seconds above 0 "
+            f"and at most {limits.max_deadline_s:g}",
         )
-    return allowed_s
+    return timeout_s
--- a/src/endivegw/daemons/completion_answer.py
+++ b/src/endivegw/daemons/completion_answer.py
@@ -1,8 +1,8 @@
-"""Turn an engine's chunks into what the caller asked for; pure.
+"""Convert the chunks of an engine's answer to the caller's format, without I/O.
 
-An answer travels through the fleet as JSON chunks of the completions
-protocol, one per line. A streaming caller gets each as a server-sent event,
-another caller gets one object made of all of them.
+Within the fleet, an answer is transferred as JSON chunks of the completions
+protocol, one per line. A streaming caller receives each chunk as a server-sent
+event; any other caller receives one object assembled from all chunks.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 
 from endivegw.types import Usage
 
-__all__ = ["AnswerText", "ChunkSplitter", "DONE_EVENT", "event", "usage_object"]
+__all__ = ["AnswerText", "ChunkSplitter", "DONE_EVENT", "format_event", "usage_object"]
 
-#: What ends a stream that is whole; a stream without it is not.
+#: The last event of a complete stream; a stream without it is incomplete.
 DONE_EVENT = b"data: [DONE]\n\n"
 
 
-def event(chunk: bytes) -> bytes:
+def format_event(chunk: bytes) -> bytes:
     """Frame one chunk as a server-sent event."""
     return b"data: " + chunk + b"\n\n"
 
 
 def usage_object(usage: Usage) -> dict[str, int]:
-    """Return usage in the protocol's shape."""
+    """Return the usage object of the completions protocol."""
     return {
         "prompt_tokens": usage.prompt_tokens,
         "completion_tokens": usage.completion_tokens,
@@ -36,31 +36,31 @@
 
 @define
 class ChunkSplitter:
-    """Cut a stream of bytes into lines, over any frame borders."""
+    """Split a stream of bytes into lines, independently of frame boundaries."""
 
-    _rest: bytes = b""
+    _remainder: bytes = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        """Add data and return the lines that it completes."""
+        *lines, self._remainder = (self._remainder + data).split(b"\n")
         return [line for line in lines if line]
 
 
 @define
 class AnswerText:
-    """Collect chunks into the one object of a caller that does not stream."""
+    """Assemble chunks into the single object for a caller that does not stream."""
 
     chat: bool
-    _first: dict[str, Any] | None = None
+    _first_chunk: dict[str, Any] | None = None
     _texts: list[str] = field(factory=list)
     _tool_calls: list[dict[str, Any]] = field(factory=list)
     _finish_reason: str | None = None
 
     def add(self, chunk: bytes) -> None:
-        """Take one chunk."""
+        """Append one chunk."""
         document = json.loads(chunk)
-        if self._first is None:
-            self._first = document
+        if self._first_chunk is None:
+            self._first_chunk = document
         for choice in document.get("choices", ()):
             self._add_choice(choice)
 
@@ -75,20 +75,20 @@
         if choice.get("finish_reason"):
             self._finish_reason = choice["finish_reason"]
 
-    def _add_tool_call(self, piece: dict[str, Any]) -> None:
-        index = piece.get("index", 0)
+    def _add_tool_call(self, delta: dict[str, Any]) -> None:
+        index = delta.get("index", 0)
         while len(self._tool_calls) <= index:
             empty = {"type": "function", "function": {"name": "", "arguments": ""}}
             self._tool_calls.append(empty)
         call = self._tool_calls[index]
-        if piece.get("id"):
-            call["id"] = piece["id"]
-        for name, text in (piece.get("function") or {}).items():
+        if delta.get("id"):
+            call["id"] = delta["id"]
+        for name, text in (delta.get("function") or {}).items():
             call["function"][name] = call["function"].get(name, "") + (text or "")
 
-    def whole(self, usage: Usage) -> bytes:
-        """Return the object of the whole answer."""
-        first = self._first or {}
+    def to_json(self, usage: Usage) -> bytes:
+        """Return the complete answer as a JSON object."""
+        first = self._first_chunk or {}
         text = "".join(self._texts)
         choice: dict[str, Any] = {"index": 0, "finish_reason": self._finish_reason}
         if self.chat:
--- a/src/endivegw/daemons/completion_request.py
+++ b/src/endivegw/daemons/completion_request.py
@@ -1,4 +1,4 @@
-"""Understand a caller's completion request; pure."""
+"""Parse and validate a caller's completion request, without I/O."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 
 __all__ = ["CompletionRequest", "parse_completion"]
 
-#: Fields whose value would multiply or hide what a request consumes.
-_SINGLE_FIELDS = ("n", "best_of")
+#: Fields for which only the value 1 is accepted: a higher value would multiply or
+#: hide the tokens that a request consumes.
+_SINGLE_CHOICE_FIELDS = ("n", "best_of")
 
-#: Roles whose names the bound's allowance for each message covers.
+#: Accepted roles. The per-message allowance of the prompt bound covers the tokens of
+#: these role names.
 _ROLES = ("system", "developer", "user", "assistant", "tool")
 
 
 @frozen
 class CompletionRequest:
-    """Hold what routing needs of a completion request.
-
-    :param body: the caller's JSON as it came.
-    :param texts: all that the engine reads, for its bound: the prompt, or each
-        message of a chat with what belongs to it, and the tools.
-    :param prefix_text: the prompt as engines name it in their cache events.
-    :param max_tokens: the caller's bound of the answer, None where absent.
+    """Hold the fields of a completion request that routing needs.
+
+    :param body: the caller's JSON, unchanged.
+    :param texts: all text that the engine reads, from which the prompt bound is
+        computed: the prompt, or each message of a chat with its further fields, and
+        the tool definitions.
+    :param prefix_text: the prompt as engines identify it in their cache events.
+    :param max_tokens: the caller's limit on output tokens, None if absent.
     """
 
     body: bytes
@@ -40,31 +43,31 @@
 
 
 def parse_completion(body: bytes, *, chat: bool) -> CompletionRequest | Refused:
-    """Return the request, or why it cannot be understood."""
+    """Return the parsed request, or the reason why it is invalid."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError):
-        return _bad("the body is not valid JSON")
+        return _bad_request("the body is not valid JSON")
     if not isinstance(document, dict):
-        return _bad("the body must be a JSON object")
+        return _bad_request("the body must be a JSON object")
     model = document.get("model")
     if not isinstance(model, str) or not model:
-        return _bad("'model' must be a string")
-    for name in _SINGLE_FIELDS:
+        return _bad_request("'model' must be a string")
+    for name in _SINGLE_CHOICE_FIELDS:
         if document.get(name) not in (None, 1):
-            return _bad(f"'{name}' above 1 is not supported")
+            return _bad_request(f"'{name}' above 1 is not supported")
     prompt = _chat_prompt(document) if chat else _plain_prompt(document)
     if isinstance(prompt, Refused):
         return prompt
     max_tokens = document.get("max_completion_tokens", document.get("max_tokens"))
     if max_tokens is not None and not _is_positive(max_tokens):
-        return _bad("'max_tokens' must be a positive whole number")
+        return _bad_request("'max_tokens' must be a positive integer")
     options = document.get("stream_options")
     if options is not None and not isinstance(options, dict):
-        return _bad("'stream_options' must be an object")
+        return _bad_request("'stream_options' must be an object")
     stream = document.get("stream", False)
     if stream not in (True, False, None):
-        return _bad("'stream' must be true or false")
+        return _bad_request("'stream' must be true or false")
     return CompletionRequest(
         body=body,
         chat=chat,
@@ -77,7 +80,7 @@
     )
 
 
-def _bad(detail: str) -> Refused:
+def _bad_request(detail: str) -> Refused:
     return Refused(Reason.BAD_REQUEST, detail)
 
 
@@ -95,40 +98,40 @@
     prompt = document.get("prompt")
     if isinstance(prompt, str):
         return _Prompt((prompt,), prompt)
-    return _bad("'prompt' must be a string")
+    return _bad_request("'prompt' must be a string")
 
 
 def _chat_prompt(document: dict[str, Any]) -> _Prompt | Refused:
     messages = document.get("messages")
     if not isinstance(messages, list) or not messages:
-        return _bad("'messages' must be a list with at least one message")
+        return _bad_request("'messages' must be a list with at least one message")
     texts: list[str] = []
     contents: list[str] = []
     for message in messages:
         if not isinstance(message, dict) or message.get("role") not in _ROLES:
-            return _bad(f"each message needs a 'role' of {', '.join(_ROLES)}")
-        content = _content(message.get("content"))
+            return _bad_request(f"each message needs a 'role' of {', '.join(_ROLES)}")
+        content = _content_text(message.get("content"))
         if content is None:
-            return _bad("each message's 'content' must be text")
+            return _bad_request("each message's 'content' must be text")
         contents.append(content)
-        texts.append(content + _extras(message))
-    # Tool definitions are part of what the engine reads, so they count.
+        texts.append(content + _other_fields(message))
+    # The engine reads tool definitions as part of the prompt.
     if document.get("tools"):
         texts.append(json.dumps(document["tools"]))
     return _Prompt(tuple(texts), " ".join(contents))
 
 
-def _extras(message: dict[str, Any]) -> str:
-    """Return what an engine reads of a message beside role and content.
+def _other_fields(message: dict[str, Any]) -> str:
+    """Return the fields of a message other than role and content as JSON.
 
-    Names and calls of tools count towards the prompt; a bound without them
-    would be below what the engine consumes.
+    Names and tool calls are prompt tokens; a bound without them would be below the
+    engine's actual consumption.
     """
-    rest = {k: v for k, v in message.items() if k not in ("role", "content")}
-    return json.dumps(rest) if rest else ""
+    fields = {k: v for k, v in message.items() if k not in ("role", "content")}
+    return json.dumps(fields) if fields else ""
 
 
-def _content(content: Any) -> str | None:
+def _content_text(content: Any) -> str | None:
     if content is None:
         return ""
     if isinstance(content, str):
--- a/src/endivegw/daemons/direct_router.py
+++ b/src/endivegw/daemons/direct_router.py
@@ -244,7 +244,7 @@
                     unread_tokens=other.unread_tokens,
                 )
                 dispatcher.report(name, figures, now_s)
-            parts.context.queue.kick()
+            parts.context.queue.wake()
 
     async def _keep_own_address(self) -> None:
         """Write the own row, again where an earlier process's late write hid it."""
--- a/src/endivegw/daemons/headers.py
+++ b/src/endivegw/daemons/headers.py
@@ -1,4 +1,4 @@
-"""The header of each message between processes, written and read."""
+"""Build and parse the header of the messages between the fleet's processes."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 from endivegw.types import AvailabilityZone, ConfigRevision, InstanceId
 
 __all__ = [
-    "HasRevision",
+    "RevisionSource",
     "PROTOCOL_VERSION",
     "ProcessIdentity",
     "Sender",
-    "header_writer",
-    "sender_of",
+    "header_factory",
+    "parse_sender",
 ]
 
-#: Version of the messages between the fleet's processes that this program writes.
+#: Protocol version that this program announces in its messages.
 PROTOCOL_VERSION = 1
 
 
 @frozen
 class ProcessIdentity:
-    """Say who a process of the fleet is.
+    """Identify a process of the fleet.
 
-    :param role: ``router`` or ``target``, as the platform's list says.
-    :param address: where it takes its peers' calls.
+    :param role: ``router`` or ``target``, as in the platform's vm list.
+    :param address: address at which the process accepts calls from its peers.
     """
 
     instance_id: InstanceId
@@ -40,7 +40,7 @@
 
 @frozen
 class Sender:
-    """Hold who sent a message, and which configuration it has."""
+    """Hold the identity of a message's sender and its configuration revision."""
 
     instance_id: InstanceId
     vm: str
@@ -50,23 +50,23 @@
     config_revision: ConfigRevision
 
 
-class HasRevision(Protocol):
-    """What knows which configuration this process announces."""
+class RevisionSource(Protocol):
+    """Provide the configuration revision that this process announces."""
 
     @property
     def revision(self) -> ConfigRevision:
-        """Return the announced revision; 0 from a process that may not serve."""
+        """Return the announced revision; 0 if this process may not serve."""
 
 
-def header_writer(
+def header_factory(
     identity: ProcessIdentity,
-    configuration: HasRevision,
+    configuration: RevisionSource,
     grant_holder: Callable[[], str] = str,
 ) -> Callable[[], pb.Header]:
-    """Return what makes the header of each message of a process.
+    """Return a function that builds the header of a process's messages.
 
     :param grant_holder: returns the name under which this process draws grants,
-        "" before it has drawn one.
+        "" before the first draw.
     """
 
     def header() -> pb.Header:
@@ -84,8 +84,8 @@
     return header
 
 
-def sender_of(header: pb.Header) -> Sender:
-    """Return who sent a message."""
+def parse_sender(header: pb.Header) -> Sender:
+    """Return the sender of a message."""
     return Sender(
         instance_id=InstanceId(header.instance_id),
         vm=header.vm,
--- a/src/endivegw/daemons/held_attempts.py
+++ b/src/endivegw/daemons/held_attempts.py
@@ -1,8 +1,9 @@
-"""Find out how attempts ended whose end this router did not hear.
+"""Resolve attempts whose outcome this router has not received.
 
-A stream broke, a deadline passed or a caller went away, and the sidecar could
-not confirm at once what was consumed. The tokens stay reserved meanwhile: the
-engine may still be at it, and tokens given back early would be spent twice.
+A stream broke, a deadline passed or a caller disconnected, and the sidecar could
+not confirm immediately how many tokens were consumed. The tokens stay reserved in
+the meantime: the engine may still be generating, and tokens that are released
+early could be spent twice.
 """
 
 from __future__ import annotations
@@ -26,24 +27,25 @@
 from endivegw.telemetry.catalogue import router as events
 from endivegw.types import Usage
 
-__all__ = ["HeldAttempt", "HeldAttempts"]
+__all__ = ["UnresolvedAttempt", "AttemptResolver"]
 
-#: The first ask comes soon, since most ends are merely late; later ones are
-#: rare, so that a region that is cut off for long costs next to nothing.
-_FIRST_WAIT_S = 0.25
-_LONGEST_WAIT_S = 10.0
+#: The first query is sent soon, since most outcomes are merely delayed. The interval
+#: then doubles up to the maximum, so that the cost of a region that stays isolated
+#: for long is negligible.
+_INITIAL_WAIT_S = 0.25
+_MAX_WAIT_S = 10.0
 
-#: How long a target must be missing before its attempts are charged in full.
-#: The platform's list lags and heartbeats get lost; a target that is merely
-#: cut off may still consume, and comes back with the true figure.
-_GONE_S = 120.0
+#: How long a target must be missing before its attempts are charged in full. The
+#: platform's vm list lags and heartbeats get lost; a target that is merely isolated
+#: may still consume tokens, and reports the actual figure once it is reachable.
+_TERMINATED_AFTER_S = 120.0
 
 
 @frozen
-class HeldAttempt:
-    """Hold an attempt whose end is not known.
+class UnresolvedAttempt:
+    """Hold an attempt whose outcome is not known.
 
-    :param to_cancel: whether nobody waits for its answer any more.
+    :param to_cancel: whether no caller waits for its answer any more.
     """
 
     step: HandOver
@@ -52,8 +54,8 @@
     to_cancel: bool
 
 
-class HeldAttempts:
-    """Ask sidecars until each held attempt's consumption is known."""
+class AttemptResolver:
+    """Query sidecars until the consumption of each unresolved attempt is known."""
 
     def __init__(
         self,
@@ -70,72 +72,73 @@
         self._tasks = tasks
         self._clock = clock
         self._log = log
-        #: Attempts whose tokens are reserved for an end that is not known.
+        #: Number of attempts whose outcome is not known.
         self.count = 0
 
-    def add(self, held: HeldAttempt) -> None:
-        """Keep the tokens reserved and find out in the background."""
-        if held.reservation is not None:
-            self._budget_manager.hold(held.reservation, self._clock())
+    def add(self, attempt: UnresolvedAttempt) -> None:
+        """Keep the attempt's tokens reserved and resolve it in the background."""
+        if attempt.reservation is not None:
+            self._budget_manager.hold(attempt.reservation, self._clock())
         self.count += 1
-        self._tasks.start_soon(self._resolve, held)
+        self._tasks.start_soon(self._resolve, attempt)
 
-    async def _resolve(self, held: HeldAttempt) -> None:
+    async def _resolve(self, attempt: UnresolvedAttempt) -> None:
         step = CancelAttempt(
-            held.step.attempt_id,
-            held.step.target,
-            held.step.incarnation,
-            bar_only=not held.to_cancel,
+            attempt.step.attempt_id,
+            attempt.step.target,
+            attempt.step.incarnation,
+            bar_only=not attempt.to_cancel,
         )
         wait_s = 0.0
         missing_since_s: float | None = None
         while True:
             await anyio.sleep(wait_s)
-            wait_s = min(max(wait_s * 2, _FIRST_WAIT_S), _LONGEST_WAIT_S)
+            wait_s = min(max(wait_s * 2, _INITIAL_WAIT_S), _MAX_WAIT_S)
             now_s = self._clock()
-            link = self._sidecars.find(held.step.target)
+            link = self._sidecars.find(attempt.step.target)
             if link is None:
                 missing_since_s = missing_since_s or now_s
-                if now_s - missing_since_s > _GONE_S:
-                    self._charge(held, self._bound(held), "target-gone")
+                if now_s - missing_since_s > _TERMINATED_AFTER_S:
+                    self._charge(attempt, self._max_usage(attempt), "target-gone")
                     return
                 continue
             missing_since_s = None
-            word = await cancel_attempt(link.client, self._header(), step)
-            if word is not None and self._take(held, word):
+            reply = await cancel_attempt(link.client, self._header(), step)
+            if reply is not None and self._apply_reply(attempt, reply):
                 return
             step = evolve(step, bar_only=True)
 
-    def _take(self, held: HeldAttempt, word: CancelWord) -> bool:
-        """Settle by a sidecar's word; return whether it settles anything."""
-        if word.never_started:
-            self._charge(held, Usage(), "never-started")
-        elif word.ended:
-            self._charge(held, word.usage, "counted")
-        elif word.running:
+    def _apply_reply(self, attempt: UnresolvedAttempt, reply: CancelWord) -> bool:
+        """Settle the attempt by a sidecar's reply; return whether it is settled."""
+        if reply.never_started:
+            self._charge(attempt, Usage(), "never-started")
+        elif reply.ended:
+            self._charge(attempt, reply.usage, "counted")
+        elif reply.running:
             return False
         else:
-            # The sidecar's process was replaced: nobody can count it any more.
-            self._charge(held, self._bound(held), "replaced")
+            # The sidecar's process was replaced: the consumption can no longer be
+            # determined.
+            self._charge(attempt, self._max_usage(attempt), "replaced")
         return True
 
-    def _bound(self, held: HeldAttempt) -> Usage:
-        """Return the most that the attempt can have consumed.
+    def _max_usage(self, attempt: UnresolvedAttempt) -> Usage:
+        """Return the maximum that the attempt can have consumed.
 
         Charging less could let the account spend beyond its budget.
         """
-        tokens = held.reservation.tokens if held.reservation is not None else 0
-        prompt_tokens = min(held.plan.bound.prompt_tokens, tokens)
+        tokens = attempt.reservation.tokens if attempt.reservation is not None else 0
+        prompt_tokens = min(attempt.plan.bound.prompt_tokens, tokens)
         return Usage(prompt_tokens, tokens - prompt_tokens)
 
-    def _charge(self, held: HeldAttempt, usage: Usage, how: str) -> None:
+    def _charge(self, attempt: UnresolvedAttempt, usage: Usage, how: str) -> None:
         self.count -= 1
-        if held.reservation is not None:
-            self._budget_manager.resolve(held.reservation, usage, self._clock())
+        if attempt.reservation is not None:
+            self._budget_manager.resolve(attempt.reservation, usage, self._clock())
         self._log.emit(
             events.ATTEMPT_RESOLVED,
-            attempt_id=held.step.attempt_id,
-            target=held.step.target,
+            attempt_id=attempt.step.attempt_id,
+            target=attempt.step.target,
             how=how,
             total_tokens=usage.total_tokens,
         )
--- a/src/endivegw/daemons/http_answers.py
+++ b/src/endivegw/daemons/http_answers.py
@@ -1,4 +1,4 @@
-"""Send answers to callers: streamed, as one object, or passed through."""
+"""Send answers to callers: as an event stream, as one object, or unchanged."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     DONE_EVENT,
     AnswerText,
     ChunkSplitter,
-    event,
+    format_event,
     usage_object,
 )
 from endivegw.daemons.http_messages import (
@@ -23,10 +23,10 @@
 from endivegw.types import Outcome, Usage
 
 __all__ = [
-    "ObjectAnswer",
-    "PassedAnswer",
+    "ObjectAnswerSink",
+    "PassthroughAnswerSink",
     "Send",
-    "StreamedAnswer",
+    "EventStreamSink",
     "send_error",
     "send_json",
 ]
@@ -39,12 +39,12 @@
 _HTTP_OK = 200
 
 
-async def _start(send: Send, status: int, fields: Fields) -> None:
+async def _send_head(send: Send, status: int, fields: Fields) -> None:
     headers = [(name.encode(), value.encode("latin-1")) for name, value in fields]
     await send({"type": "http.response.start", "status": status, "headers": headers})
 
 
-async def _body(send: Send, data: bytes, *, more: bool) -> None:
+async def _send_body(send: Send, data: bytes, *, more: bool) -> None:
     await send({"type": "http.response.body", "body": data, "more_body": more})
 
 
@@ -52,21 +52,22 @@
     send: Send, status: int, document: object, fields: Fields = ()
 ) -> None:
     """Send one JSON object."""
-    await _start(send, status, _JSON + fields)
-    await _body(send, json.dumps(document).encode(), more=False)
+    await _send_head(send, status, _JSON + fields)
+    await _send_body(send, json.dumps(document).encode(), more=False)
 
 
 async def send_error(send: Send, error: HttpError, fields: Fields = ()) -> None:
     """Send an error answer."""
-    await _start(send, error.status, error.fields + fields)
-    await _body(send, error.body, more=False)
+    await _send_head(send, error.status, error.fields + fields)
+    await _send_body(send, error.body, more=False)
 
 
-class StreamedAnswer:
-    """Send each chunk as a server-sent event as soon as it is there.
+class EventStreamSink:
+    """Send each chunk as a server-sent event as soon as it is received.
 
-    :param include_usage: whether the caller asked for the usage chunk.
-    :param fields: header fields of every answer of this request.
+    :param include_usage: whether the caller requested the usage chunk.
+    :param fields: header fields to add to every answer to this request.
+    :param keyed: whether the request has an idempotency key.
     """
 
     def __init__(
@@ -77,58 +78,58 @@
         self._include_usage = include_usage
         self._fields = fields
         self._splitter = ChunkSplitter()
-        self._begun = False
-        self._last = b"{}"
+        self._started = False
+        self._last_chunk = b"{}"
 
     def reset(self) -> None:
-        """Do nothing: what was sent is sent, and an answer goes on from there."""
+        """Do nothing: sent data is final, and the answer continues after it."""
 
     async def head(self, status: int, fields: Fields) -> None:
-        """Wait for data: until then an error can still have its own status."""
+        """Send nothing yet: until data arrives, an error can set its own status."""
 
     async def data(self, data: bytes) -> None:
-        """Send the chunks that are complete now."""
+        """Send the chunks that the data completes."""
         lines = self._splitter.feed(data)
         if not lines:
             return
-        await self._begin()
-        self._last = lines[-1]
-        await _body(self._send, b"".join(map(event, lines)), more=True)
+        await self._ensure_started()
+        self._last_chunk = lines[-1]
+        await _send_body(self._send, b"".join(map(format_event, lines)), more=True)
 
     async def end(self, end: RequestEnd) -> None:
-        """End the stream; only a whole answer ends with the done event."""
+        """End the stream; only a complete answer ends with the done event."""
         match end:
             case Answered():
-                await self._begin()
+                await self._ensure_started()
                 tail = self._usage_event(end.usage) + DONE_EVENT
-                await _body(self._send, tail, more=False)
-            case Refused() | RefusedTry() | Unknown() if not self._begun:
+                await _send_body(self._send, tail, more=False)
+            case Refused() | RefusedTry() | Unknown() if not self._started:
                 error = http_error(end, keyed=self._keyed)
                 await send_error(self._send, error, self._fields)
             case Refused() | RefusedTry() | Unknown():
-                failed = b"event: error\n" + event(error_body(end))
-                await _body(self._send, failed, more=False)
+                failed = b"event: error\n" + format_event(error_body(end))
+                await _send_body(self._send, failed, more=False)
 
-    async def _begin(self) -> None:
-        if self._begun:
+    async def _ensure_started(self) -> None:
+        if self._started:
             return
-        self._begun = True
-        stream = (("content-type", "text/event-stream"), ("cache-control", "no-cache"))
-        await _start(self._send, _HTTP_OK, stream + _ANSWERED + self._fields)
+        self._started = True
+        fields = (("content-type", "text/event-stream"), ("cache-control", "no-cache"))
+        await _send_head(self._send, _HTTP_OK, fields + _ANSWERED + self._fields)
 
     def _usage_event(self, usage: Usage) -> bytes:
         if not self._include_usage:
             return b""
         names = ("id", "object", "created", "model")
-        # Read once an answer, not once a piece: few callers ask for the usage.
-        last = json.loads(self._last)
+        # Only the last chunk is parsed, and only here: few callers request the usage.
+        last = json.loads(self._last_chunk)
         document: dict[str, Any] = {n: last[n] for n in names if n in last}
         document.update(choices=[], usage=usage_object(usage))
-        return event(json.dumps(document).encode())
+        return format_event(json.dumps(document).encode())
 
 
-class ObjectAnswer:
-    """Collect the chunks and send one object when the answer is whole."""
+class ObjectAnswerSink:
+    """Collect the chunks and send one object once the answer is complete."""
 
     def __init__(self, send: Send, chat: bool, fields: Fields, keyed: bool) -> None:
         self._send = send
@@ -138,67 +139,66 @@
         self.reset()
 
     def reset(self) -> None:
-        """Drop what is held: another attempt answers from the first byte."""
+        """Drop the collected chunks: another attempt answers from the first byte."""
         self._splitter = ChunkSplitter()
         self._text = AnswerText(self._chat)
 
     async def head(self, status: int, fields: Fields) -> None:
-        """Send nothing: the status is known when the answer is whole."""
+        """Send nothing yet: the status is known once the answer is complete."""
 
     async def data(self, data: bytes) -> None:
-        """Keep the chunks that are complete now."""
+        """Collect the chunks that the data completes."""
         for line in self._splitter.feed(data):
             self._text.add(line)
 
     async def end(self, end: RequestEnd) -> None:
-        """Send the object, or the error in its place."""
+        """Send the object, or an error if the request was not answered."""
         match end:
             case Answered():
-                body = self._text.whole(end.usage)
-                await _start(self._send, _HTTP_OK, _JSON + _ANSWERED + self._fields)
-                await _body(self._send, body, more=False)
+                body = self._text.to_json(end.usage)
+                await _send_head(self._send, _HTTP_OK, _JSON + _ANSWERED + self._fields)
+                await _send_body(self._send, body, more=False)
             case Refused() | RefusedTry() | Unknown():
                 error = http_error(end, keyed=self._keyed)
                 await send_error(self._send, error, self._fields)
 
 
-class CutAnswer(Exception):
-    """A passed-through answer that began cannot be finished.
+class TruncatedAnswer(Exception):
+    """A passed-through answer was started and cannot be completed.
 
-    Raised into the HTTP server so that it closes the connection: a body with
-    neither its length nor its last chunk is known to be cut, and cannot be
-    taken for a whole one.
+    Raised into the HTTP server so that it closes the connection: without the
+    declared length or the last chunk, the caller recognises the body as truncated.
     """
 
 
-class PassedAnswer:
-    """Pass a plain service's answer through as it comes."""
+class PassthroughAnswerSink:
+    """Forward a plain service's answer unchanged, as it is received."""
 
     def __init__(self, send: Send, fields: Fields, keyed: bool) -> None:
         self._send = send
         self._keyed = keyed
         self._fields = fields
-        self._begun = False
+        self._started = False
 
     def reset(self) -> None:
-        """Do nothing: what was sent is sent, and an answer goes on from there."""
+        """Do nothing: sent data is final, and the answer continues after it."""
 
     async def head(self, status: int, fields: Fields) -> None:
-        """Send the service's own status and header fields."""
-        self._begun = True
-        await _start(self._send, status, fields + _ANSWERED + self._fields)
+        """Send the service's status and header fields."""
+        self._started = True
+        await _send_head(self._send, status, fields + _ANSWERED + self._fields)
 
     async def data(self, data: bytes) -> None:
         """Send the next bytes."""
-        await _body(self._send, data, more=True)
+        await _send_body(self._send, data, more=True)
 
     async def end(self, end: RequestEnd) -> None:
-        """End the answer; a cut one must not look whole."""
+        """End the answer; a truncated one must not look complete."""
         match end:
             case Answered():
-                await _body(self._send, b"", more=False)
-            case Refused() | RefusedTry() | Unknown() if not self._begun:
+                await _send_body(self._send, b"", more=False)
+            case Refused() | RefusedTry() | Unknown() if not self._started:
                 error = http_error(end, keyed=self._keyed)
                 await send_error(self._send, error, self._fields)
             case Refused() | RefusedTry() | Unknown():
-                raise CutAnswer(repr(end))
+                raise TruncatedAnswer(repr(end))
--- a/src/endivegw/daemons/http_front.py
+++ b/src/endivegw/daemons/http_front.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: routes, authentication, limits."""
+"""The HTTP interface for callers: routes, authentication and limits."""
 
 from __future__ import annotations
 
@@ -10,15 +10,20 @@
 from endivegw.daemons.callers import Caller, identify, is_plain_path, is_repeatable
 from endivegw.daemons.completion_request import CompletionRequest, parse_completion
 from endivegw.daemons.http_answers import (
-    CutAnswer,
-    ObjectAnswer,
-    PassedAnswer,
+    EventStreamSink,
+    ObjectAnswerSink,
+    PassthroughAnswerSink,
     Send,
-    StreamedAnswer,
+    TruncatedAnswer,
     send_error,
     send_json,
 )
-from endivegw.daemons.http_body import CallerGone, Receive, read_body, read_leading
+from endivegw.daemons.http_body import (
+    CallerDisconnected,
+    Receive,
+    read_body,
+    read_leading,
+)
 from endivegw.daemons.http_messages import (
     BUDGET_HEADER,
     DEADLINE_HEADER,
@@ -40,17 +45,17 @@
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue.daemons import INVARIANT_BROKEN
 
-__all__ = ["HttpFront", "RunRequest"]
+__all__ = ["HttpFrontend", "RunRequest"]
 
-_MAX_HELD_BODY_BYTES = 256 * 1024
+_MAX_BUFFERED_BODY_BYTES = 256 * 1024
 _CHAT_PATH = "/v1/chat/completions"
 _COMPLETION_PATH = "/v1/completions"
 _MODELS_PATH = "/v1/models"
 _MODEL_PREFIX = "/v1/models/"
 _SERVICE_PREFIX = "/services/"
 
-#: Header fields that belong to one connection or to the fleet, and go no further.
-_DROPPED_FIELDS = frozenset(
+#: Header fields that concern one connection or the fleet; they are not forwarded.
+_STRIPPED_FIELDS = frozenset(
     {
         "authorization",
         "connection",
@@ -70,32 +75,33 @@
 
 
 class RunRequest(Protocol):
-    """What carries out an accepted request."""
+    """Execute accepted requests."""
 
     async def run(self, request: RoutedRequest, sink: AnswerSink) -> RequestEnd:
-        """Send the answer into the sink and return how the request ended."""
+        """Write the answer to the sink and return how the request ended."""
 
 
-class _EndingSink(AnswerSink, Protocol):
+class _CallerSink(AnswerSink, Protocol):
     async def end(self, end: RequestEnd) -> None:
-        """Send what ends the answer."""
+        """Complete the answer, or send the error."""
 
 
-class HttpFront:
-    """Answer callers' HTTP requests; an ASGI application.
+class HttpFrontend:
+    """ASGI application that answers callers' HTTP requests.
 
     :param snapshot: returns the configuration in force in this process.
-    :param takes_work: returns whether requests are taken.
-    :param healthy: returns whether the balancer should send callers here; a
-        router that seems cut off from its targets still tries what comes.
-    :param clock: seconds on a clock that never goes back.
+    :param accepts_work: returns whether this router accepts new requests.
+    :param healthy: returns whether the load balancer should send callers to this
+        router. A router that seems isolated from its targets still accepts the
+        requests that it receives.
+    :param clock: returns seconds on a monotonic clock.
     """
 
     def __init__(
         self,
         runner: RunRequest,
         snapshot: Callable[[], Snapshot],
-        takes_work: Callable[[], bool],
+        accepts_work: Callable[[], bool],
         healthy: Callable[[], bool],
         limits: HttpLimits,
         clock: Callable[[], float],
@@ -103,12 +109,13 @@
     ) -> None:
         self._runner = runner
         self._snapshot = snapshot
-        self._takes_work = takes_work
+        self._accepts_work = accepts_work
         self._healthy = healthy
         self._limits = limits
         self._clock = clock
         self._log = log
-        #: Requests whose answer has not ended; a planned stop waits for them.
+        #: Number of requests whose answer has not ended; a graceful shutdown waits
+        #: for them.
         self.in_progress = 0
 
     async def __call__(
@@ -120,8 +127,8 @@
         self.in_progress += 1
         try:
             await self._route(scope, receive, send)
-        except CallerGone:
-            # Nobody is left to answer.
+        except CallerDisconnected:
+            # There is no caller left to answer.
             pass
         finally:
             self.in_progress -= 1
@@ -134,7 +141,7 @@
             await send_json(send, 200, {"status": "live"})
             return
         if path == "/readyz":
-            ready = self._takes_work() and self._healthy()
+            ready = self._accepts_work() and self._healthy()
             status = "ready" if ready else "not ready"
             await send_json(send, 200 if ready else 503, {"status": status})
             return
@@ -142,8 +149,10 @@
             k.decode("latin-1"): v.decode("latin-1") for k, v in scope["headers"]
         }
         keyed = IDEMPOTENCY_HEADER in headers
-        if not self._takes_work():
-            refused = Refused(Reason.NOT_READY, "this router takes no new work", 1.0)
+        if not self._accepts_work():
+            refused = Refused(
+                Reason.NOT_READY, "this router accepts no new requests", 1.0
+            )
             await _refuse(send, refused, keyed)
             return
         caller = identify(headers, self._snapshot(), self._limits, self._clock())
@@ -159,27 +168,29 @@
         elif path.startswith(_SERVICE_PREFIX):
             await self._service(scope, headers, caller, receive, send)
         else:
-            refused = Refused(Reason.NOT_FOUND, f"there is nothing at {path}")
+            refused = Refused(Reason.NOT_FOUND, f"path {path} not found")
             await _refuse(send, refused, keyed)
 
     async def _models(self, method: str, path: str, caller: Caller, send: Send) -> None:
         if method != "GET":
-            refused = Refused(Reason.BAD_REQUEST, "models are listed with GET")
+            refused = Refused(
+                Reason.BAD_REQUEST, "listing models requires the method GET"
+            )
             await _refuse(send, refused)
             return
         models = [
-            {"id": name, "object": "model", "created": 0, "owned_by": "endivegw"}
-            for name in caller.account.models
+            {"id": model_id, "object": "model", "created": 0, "owned_by": "endivegw"}
+            for model_id in caller.account.models
         ]
         if path == _MODELS_PATH:
             await send_json(send, 200, {"object": "list", "data": models})
             return
-        wanted = path.removeprefix(_MODEL_PREFIX)
+        name = path.removeprefix(_MODEL_PREFIX)
         for model in models:
-            if model["id"] == wanted:
+            if model["id"] == name:
                 await send_json(send, 200, model)
                 return
-        refused = Refused(Reason.UNKNOWN_MODEL, f"there is no model {wanted!r}")
+        refused = Refused(Reason.UNKNOWN_MODEL, f"model {name!r} not found")
         await _refuse(send, refused)
 
     async def _completion(
@@ -191,25 +202,27 @@
             return
         completion = parse_completion(body, chat=chat)
         if method != "POST":
-            completion = Refused(Reason.BAD_REQUEST, "completions are sent with POST")
+            completion = Refused(
+                Reason.BAD_REQUEST, "completions require the method POST"
+            )
         if isinstance(completion, Refused):
             await _refuse(send, completion, caller.keyed)
             return
         if completion.model not in caller.account.models:
             refused = Refused(
-                Reason.UNKNOWN_MODEL, f"there is no model {completion.model!r}"
+                Reason.UNKNOWN_MODEL, f"model {completion.model!r} not found"
             )
             await _refuse(send, refused, caller.keyed)
             return
-        sink: _EndingSink
+        sink: _CallerSink
         if completion.stream:
-            sink = StreamedAnswer(
+            sink = EventStreamSink(
                 send, completion.include_usage, caller.fields, caller.keyed
             )
         else:
-            sink = ObjectAnswer(send, chat, caller.fields, caller.keyed)
+            sink = ObjectAnswerSink(send, chat, caller.fields, caller.keyed)
         repeatable = caller.account.repeatable_generations
-        request = self._routed(
+        request = self._build_request(
             caller, _engine_call(completion), repeatable, completion.stream
         )
         await self._run(request, sink, receive)
@@ -224,44 +237,45 @@
     ) -> None:
         name, _, rest = scope["path"].removeprefix(_SERVICE_PREFIX).partition("/")
         if name not in caller.account.services:
-            refused = Refused(Reason.UNKNOWN_SERVICE, f"there is no service {name!r}")
+            refused = Refused(Reason.UNKNOWN_SERVICE, f"service {name!r} not found")
             await _refuse(send, refused, caller.keyed)
             return
         if not is_plain_path(rest):
-            refused = Refused(Reason.BAD_REQUEST, "'.' and '..' are no path segments")
+            refused = Refused(Reason.BAD_REQUEST, "the path has a segment '.' or '..'")
             await _refuse(send, refused, caller.keyed)
             return
-        # The raw path keeps the escapes that the service is meant to see.
+        # The raw path preserves percent-encoding for the service.
         raw = scope.get("raw_path") or scope["path"].encode()
         raw_rest = raw.decode("latin-1").removeprefix(_SERVICE_PREFIX).partition("/")[2]
         query = scope.get("query_string", b"").decode("latin-1")
         path = f"/{raw_rest}" + (f"?{query}" if query else "")
-        body, more = await read_leading(receive, _MAX_HELD_BODY_BYTES)
+        body, more = await read_leading(receive, _MAX_BUFFERED_BODY_BYTES)
         if more is not None and caller.idempotency_key is not None:
-            # A retry can only be told from another request by the whole body.
+            # Only the digest of the complete body can distinguish a retry from
+            # another request under the same key.
             refused = Refused(
                 Reason.BODY_TOO_LARGE,
-                f"with {IDEMPOTENCY_HEADER} a body is at most "
-                f"{_MAX_HELD_BODY_BYTES} bytes",
+                f"a body sent with {IDEMPOTENCY_HEADER} must not exceed "
+                f"{_MAX_BUFFERED_BODY_BYTES} bytes",
             )
             await _refuse(send, refused, caller.keyed)
             return
-        fields = tuple((k, v) for k, v in headers.items() if k not in _DROPPED_FIELDS)
+        fields = tuple((k, v) for k, v in headers.items() if k not in _STRIPPED_FIELDS)
         call = ServiceCall(name, scope["method"], path, fields, body, more)
         repeatable = is_repeatable(caller.account, f"{name}/{rest}")
-        request = self._routed(caller, call, repeatable)
-        sink = PassedAnswer(send, caller.fields, caller.keyed)
+        request = self._build_request(caller, call, repeatable)
+        sink = PassthroughAnswerSink(send, caller.fields, caller.keyed)
         await self._run(request, sink, receive)
 
-    def _routed(
+    def _build_request(
         self,
         caller: Caller,
         call: EngineCall | ServiceCall,
         repeatable: bool,
         streams: bool = True,
     ) -> RoutedRequest:
-        # A caller may ask for more care than its account's parameters, never less.
-        if caller.says_repeatable is False:
+        # A caller may only be stricter than its account's parameters.
+        if caller.declared_repeatable is False:
             repeatable = False
         return RoutedRequest(
             request_id=caller.request_id,
@@ -277,25 +291,25 @@
         )
 
     async def _run(
-        self, request: RoutedRequest, sink: _EndingSink, receive: Receive
+        self, request: RoutedRequest, sink: _CallerSink, receive: Receive
     ) -> None:
         if not request.repeatable and request.idempotency_key is None:
             refused = Refused(
                 Reason.KEY_REQUIRED,
-                f"a request that may not be repeated needs {IDEMPOTENCY_HEADER}",
+                f"a request that may not be repeated requires {IDEMPOTENCY_HEADER}",
             )
             await sink.end(refused)
             return
         async with anyio.create_task_group() as tasks:
             streaming = isinstance(request.call, ServiceCall) and request.call.rest
             if not streaming:
-                tasks.start_soon(_cancel_when_gone, receive, tasks.cancel_scope)
+                tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
             end = await self._run_checked(request, sink)
             try:
                 await sink.end(end)
-            except CutAnswer as cut:
+            except TruncatedAnswer as error:
                 tasks.cancel_scope.cancel()
-                raise cut
+                raise error
             tasks.cancel_scope.cancel()
 
     async def _run_checked(
@@ -304,17 +318,17 @@
         try:
             return await self._runner.run(request, sink)
         except EndivegwError as error:
-            # A promise was about to be broken, or an answer made no sense. The
-            # server's own page would not say that the request may have run.
+            # An invariant check failed or an answer was malformed. The HTTP server's
+            # default error page would not say that the request may have run.
             self._log.emit(INVARIANT_BROKEN, detail=error.message)
             return Unknown(Reason.TARGET_FAILED, "an internal check failed")
 
 
 async def _refuse(send: Send, refused: Refused, keyed: bool = False) -> None:
-    """Refuse a request before its idempotency key, if any, was looked up.
+    """Refuse a request before its idempotency key, if any, is looked up.
 
-    :param keyed: whether there is a key. An earlier try with it may have run at
-        another router, so that the refusal speaks of this try alone.
+    :param keyed: whether the request has a key. An earlier try under the key may
+        have run at another router, so the refusal covers only this try.
     """
     problem = RefusedTry(refused) if keyed else refused
     await send_error(send, http_error(problem))
@@ -333,7 +347,7 @@
     )
 
 
-async def _cancel_when_gone(receive: Receive, scope: anyio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     """Cancel the request when its caller closes the connection."""
     while True:
         message = await receive()
--- a/src/endivegw/daemons/http_messages.py
+++ b/src/endivegw/daemons/http_messages.py
@@ -1,4 +1,4 @@
-"""What callers send and are sent: header names, refusals, error bodies."""
+"""Header names of the HTTP interface, and the error answers sent to callers."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
 _TIMEOUT = 504
 _BAD_GATEWAY = 502
 
-#: When to ask again under the same key: a lost answer is found again, or a dead
-#: process replaced, within seconds.
+#: Delay before a retry under the same key: within seconds, a lost answer is found
+#: again or a dead process is replaced.
 _UNKNOWN_RETRY_S = 1
 
-#: Status of a request that did not run, by reason; 503 where none is named.
+#: Status of a request that did not run, by reason; 503 for all other reasons.
 _STATUS: Mapping[Reason, int] = {
     Reason.BAD_REQUEST: _BAD_REQUEST,
     Reason.KEY_REQUIRED: _BAD_REQUEST,
@@ -57,8 +57,8 @@
     Reason.DEADLINE: _TIMEOUT,
 }
 
-#: Reasons that a new try of the same request cannot mend.
-_FINAL = frozenset(
+#: Reasons for which a retry of the same request cannot succeed.
+_FINAL_REASONS = frozenset(
     {
         Reason.BAD_REQUEST,
         Reason.KEY_REQUIRED,
@@ -78,7 +78,7 @@
 
 @frozen
 class HttpError:
-    """Hold an error answer, ready to be sent."""
+    """Hold a complete error answer."""
 
     status: int
     fields: tuple[tuple[str, str], ...]
@@ -86,12 +86,12 @@
 
 
 def http_error(problem: NotAnswered, *, keyed: bool = False) -> HttpError:
-    """Return the answer for a request that did not run or may have run.
+    """Return the error answer for a request that did not run or may have run.
 
-    :param keyed: whether the request carried an idempotency key.
+    The outcome is sent in a separate header field, so that a client can distinguish
+    "did not run" from "may have run" without knowing the codes.
 
-    The outcome stands in a header of its own, so that a client can tell "did
-    not run" from "may have run" without knowing the codes.
+    :param keyed: whether the request has an idempotency key.
     """
     fields = [
         ("content-type", "application/json"),
@@ -100,7 +100,7 @@
     match problem:
         case (Refused() as refused) | RefusedTry(refused=refused):
             status = _STATUS.get(refused.reason, _UNAVAILABLE)
-            final = refused.reason in _FINAL
+            final = refused.reason in _FINAL_REASONS
             fields.append(("x-should-retry", "false" if final else "true"))
             if refused.retry_after_s is not None and not final:
                 seconds = max(1, math.ceil(refused.retry_after_s))
@@ -108,9 +108,9 @@
         case Unknown():
             timed_out = problem.reason in (Reason.DEADLINE, Reason.TIMEOUT)
             status = _TIMEOUT if timed_out else _BAD_GATEWAY
-            # A retry under the same key joins the attempt or replays its
-            # answer. Without a key it would be another request, so that the
-            # client must decide, and the header does not invite one.
+            # A retry under the same key joins the attempt or replays its answer.
+            # Without a key, a retry would be a new request and might run twice, so
+            # the header does not recommend one and the client must decide.
             fields.append(("x-should-retry", "true" if keyed else "false"))
             if keyed:
                 fields.append(("retry-after", str(_UNKNOWN_RETRY_S)))
@@ -118,30 +118,30 @@
 
 
 def error_body(problem: NotAnswered) -> bytes:
-    """Return the error object in the shape that the ecosystem's clients read."""
-    said = problem.refused if isinstance(problem, RefusedTry) else problem
-    status = _STATUS.get(said.reason, _UNAVAILABLE)
+    """Return the error object in the format that completion clients expect."""
+    refusal = problem.refused if isinstance(problem, RefusedTry) else problem
+    status = _STATUS.get(refusal.reason, _UNAVAILABLE)
     kind = "invalid_request_error" if status < 500 else "server_error"
-    if said.reason is Reason.BUDGET_EXHAUSTED:
+    if refusal.reason is Reason.BUDGET_EXHAUSTED:
         kind = Reason.BUDGET_EXHAUSTED.value
     error = {
-        "message": said.detail or said.reason.value.replace("_", " "),
+        "message": refusal.detail or refusal.reason.value.replace("_", " "),
         "type": kind,
         "param": None,
-        "code": said.reason.value,
+        "code": refusal.reason.value,
         "outcome": _outcome(problem).value,
     }
     return json.dumps({"error": error}).encode()
 
 
 def _outcome(problem: NotAnswered) -> Outcome:
-    # A caller that is told "not run" sends the request anew under another key.
-    # Where an earlier try had run, a second badge would be printed.
+    # A caller that receives "not run" may send the request again under another key.
+    # If an earlier try had run, the request would then run twice.
     return Outcome.NOT_RUN if isinstance(problem, Refused) else Outcome.UNKNOWN
 
 
 def header_limit(max_bytes: int) -> HeaderLimit:
-    """Return the bound on a request's head, with the answer beyond it."""
-    detail = f"the request line and header fields are over {max_bytes} bytes"
+    """Return the size limit of a request's head, with the answer if exceeded."""
+    detail = f"the request line and header fields exceed the limit of {max_bytes} bytes"
     error = http_error(Refused(Reason.HEADERS_TOO_LARGE, detail))
     return HeaderLimit(max_bytes, error.fields, error.body)
--- a/src/endivegw/daemons/peer_book.py
+++ b/src/endivegw/daemons/peer_directory.py
@@ -1,4 +1,4 @@
-"""Remember which processes were heard lately, and where they take calls."""
+"""Track the peers that sent messages recently, and connect to them."""
 
 from __future__ import annotations
 
@@ -6,14 +6,20 @@
 
 from attrs import define
 
-from endivegw.daemons.headers import Sender, sender_of
+from endivegw.daemons.headers import Sender, parse_sender
 from endivegw.exceptions import PeerError
 from endivegw.peers import RouterClient, SidecarClient
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.results import Done, Reason, Refused, Result
 from endivegw.types import ConfigRevision, InstanceId
 
-__all__ = ["ConnectRouter", "ConnectSidecar", "PeerBook", "ROUTER_ROLE", "TARGET_ROLE"]
+__all__ = [
+    "ConnectRouter",
+    "ConnectSidecar",
+    "PeerDirectory",
+    "ROUTER_ROLE",
+    "TARGET_ROLE",
+]
 
 ConnectRouter = Callable[[str, int], RouterClient]
 ConnectSidecar = Callable[[str, int], SidecarClient]
@@ -21,21 +27,23 @@
 ROUTER_ROLE = "router"
 TARGET_ROLE = "target"
 
-#: Peers remembered; more than a process exchanges messages with in a minute.
+#: Maximum number of entries; more peers than a process exchanges messages with in a
+#: minute.
 _MAX_PEERS = 256
 
 
 @define
-class _Entry:
+class _PeerEntry:
     sender: Sender
-    heard_at_s: float
+    received_at_s: float
     client: RouterClient | SidecarClient | None = None
 
 
-class PeerBook:
-    """Learn of peers from the headers of their messages, and call them back.
+class PeerDirectory:
+    """Learn peers from the headers of their messages, and open connections to them.
 
     :param header: returns the header of this process for each message.
+    :param clock: returns seconds on a monotonic clock.
     """
 
     def __init__(
@@ -49,32 +57,32 @@
         self._connect_sidecar = connect_sidecar
         self._header = header
         self._clock = clock
-        self._entries: dict[InstanceId, _Entry] = {}
+        self._entries: dict[InstanceId, _PeerEntry] = {}
 
-    def heard(self, header: pb.Header) -> Sender:
-        """Take in a header and return its sender."""
-        sender = sender_of(header)
+    def receive_header(self, header: pb.Header) -> Sender:
+        """Record the sender of a message and return it."""
+        sender = parse_sender(header)
         if not sender.address:
             return sender
         entry = self._entries.pop(sender.instance_id, None)
         client = entry.client if entry is not None else None
-        self._entries[sender.instance_id] = _Entry(sender, self._clock(), client)
+        self._entries[sender.instance_id] = _PeerEntry(sender, self._clock(), client)
         if len(self._entries) > _MAX_PEERS:
             oldest = next(iter(self._entries))
             self._drop(oldest)
         return sender
 
     def routers(self, within_s: float) -> tuple[InstanceId, ...]:
-        """Return the routers heard within so many seconds."""
+        """Return the routers that sent a message within the last seconds."""
         since_s = self._clock() - within_s
         return tuple(
             instance_id
             for instance_id, entry in self._entries.items()
-            if entry.sender.role == ROUTER_ROLE and entry.heard_at_s >= since_s
+            if entry.sender.role == ROUTER_ROLE and entry.received_at_s >= since_s
         )
 
     def router(self, instance_id: InstanceId) -> RouterClient | None:
-        """Return the connection to a router, None where it is not known."""
+        """Return the connection to a router, None if the router is unknown."""
         entry = self._entries.get(instance_id)
         if entry is None or entry.sender.role != ROUTER_ROLE:
             return None
@@ -84,13 +92,14 @@
     async def fetch(
         self, peer: InstanceId, have_revision: ConfigRevision, *, timeout_s: float
     ) -> Result[bytes]:
-        """Return what a peer has of the configuration beyond a revision."""
+        """Fetch the part of the configuration that is newer than a revision."""
         entry = self._entries.get(peer)
         if entry is None:
-            return Refused(Reason.UNREACHABLE, f"{peer} was not heard lately")
+            return Refused(Reason.UNREACHABLE, f"no recent message from peer {peer}")
         header = self._header()
-        # The peer hands out what is missing here, which may be more than the
-        # revision that this process announces before it may serve.
+        # The peer replies with everything newer than the revision in the header. Until
+        # this process may serve, the revision that it has may be newer than the one
+        # that it announces.
         header.config_revision = have_revision
         try:
             client = self._client(entry)
@@ -105,7 +114,7 @@
         for instance_id in tuple(self._entries):
             self._drop(instance_id)
 
-    def _client(self, entry: _Entry) -> RouterClient | SidecarClient:
+    def _client(self, entry: _PeerEntry) -> RouterClient | SidecarClient:
         if entry.client is None:
             host, _, port = entry.sender.address.rpartition(":")
             host = host.strip("[]")
--- a/src/endivegw/daemons/placement_queue.py
+++ b/src/endivegw/daemons/placement_queue.py
@@ -1,4 +1,4 @@
-"""Wait for the dispatcher's decisions; the decisions themselves are pure."""
+"""Queue work until the dispatcher, which does no I/O itself, has placed it."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 
 __all__ = ["PlacementQueue"]
 
-#: A safety net: the dispatcher says when to look again, and each end of work
-#: looks too. This bounds the harm of a wake-up that is missing.
-_LONGEST_SLEEP_S = 0.25
+#: Upper limit of the wait between two polls. The dispatcher returns the time of the
+#: next poll, and each end of work triggers one as well; the limit only bounds the
+#: delay after a missed wake-up.
+_MAX_SLEEP_S = 0.25
 
 
 @define
@@ -32,21 +33,21 @@
 
 
 class PlacementQueue:
-    """Hand work to the dispatcher and wait until it is placed or refused.
+    """Submit work to the dispatcher and wait until it is placed or refused.
 
-    :param clock: seconds on a clock that never goes back.
+    :param clock: returns seconds on a monotonic clock.
     """
 
     def __init__(self, dispatcher: Dispatcher, clock: Callable[[], float]) -> None:
         self.dispatcher = dispatcher
         self._clock = clock
         self._waiters: dict[str, _Waiter] = {}
-        self._wake = anyio.Event()
+        self._wake_event = anyio.Event()
 
     async def place(self, item: WorkItem) -> Placement | Refused:
-        """Return where the work goes, or why it goes nowhere.
+        """Return the placement of the work, or the reason why it is refused.
 
-        Cancelling the wait takes the work out of the queue.
+        Cancellation removes the work from the queue.
         """
         decision = self.dispatcher.submit(item, self._clock())
         match decision:
@@ -55,61 +56,61 @@
             case Queued():
                 return await self._wait(item)
 
-    def kick(self) -> None:
-        """Look at the queue again: something ended or changed."""
-        self._wake.set()
+    def wake(self) -> None:
+        """Trigger a poll of the queue after work has ended or a target has changed."""
+        self._wake_event.set()
 
     async def run(self) -> None:
-        """Decide on queued work for as long as the router lives."""
+        """Poll the dispatcher for decisions on queued work until cancelled."""
         while True:
             now_s = self._clock()
             for decision in self.dispatcher.poll(now_s):
                 self._deliver(decision)
             next_s = self.dispatcher.next_poll_s(now_s)
-            sleep_s = _LONGEST_SLEEP_S
+            sleep_s = _MAX_SLEEP_S
             if next_s is not None:
                 sleep_s = min(sleep_s, max(0.0, next_s - now_s))
             with anyio.move_on_after(sleep_s):
-                await self._wake.wait()
-            self._wake = anyio.Event()
-            # The loop yields even when each poll is due at once.
+                await self._wake_event.wait()
+            self._wake_event = anyio.Event()
+            # Yield to other tasks even if the next poll is always due immediately.
             await anyio.lowlevel.checkpoint()
 
     async def _wait(self, item: WorkItem) -> Placement | Refused:
         waiter = _Waiter()
         self._waiters[item.request_id] = waiter
-        self.kick()
-        taken = False
+        self.wake()
+        received = False
         try:
             await waiter.decided.wait()
-            taken = True
+            received = True
         finally:
             self._waiters.pop(item.request_id, None)
             if waiter.decision is None:
                 self.dispatcher.cancel(item.request_id, self._clock())
-            elif not taken:
-                self._give_back(waiter.decision)
+            elif not received:
+                self._release(waiter.decision)
         assert waiter.decision is not None
         return waiter.decision
 
-    def _give_back(self, decision: Placement | Refused) -> None:
-        """Free the place of work whose caller went away just as it was placed.
+    def _release(self, decision: Placement | Refused) -> None:
+        """Release the placement of work whose caller disconnected as it was placed.
 
-        The target would otherwise count as occupied until long after the
-        request's deadline, which shows as a target that gets less and less work.
+        Otherwise the target would count as occupied until long after the request's
+        deadline, and would receive less and less work.
         """
         if isinstance(decision, Placement):
             end = AttemptEnd(AttemptKind.CANCELLED)
             self.dispatcher.ended(
                 decision.item.request_id, decision.target, end, self._clock()
             )
-            self.kick()
+            self.wake()
 
     def _deliver(self, decision: Placement | Expired) -> None:
         waiter = self._waiters.get(decision.item.request_id)
         if waiter is None:
             if isinstance(decision, Placement):
-                self._give_back(decision)
+                self._release(decision)
             return
         match decision:
             case Placement():
--- a/src/endivegw/daemons/recovery_watch.py
+++ b/src/endivegw/daemons/recovery_watch.py
@@ -1,4 +1,4 @@
-"""Find routers that ended without settling, and recover their grants."""
+"""Detect routers that ended without settling, and recover their grants."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 
 from endivegw.budgets.recovery import ROUND_S, Recovery
 from endivegw.budgets.rows import HOLDER_PARTITION, HolderRow
-from endivegw.daemons.peer_book import ROUTER_ROLE, ConnectRouter
-from endivegw.daemons.seal_calls import SealCalls, vm_of_instance
+from endivegw.daemons.peer_directory import ROUTER_ROLE, ConnectRouter
+from endivegw.daemons.seal_calls import SealClient, vm_of_instance
 from endivegw.daemons.vm_listings import ObservedVmList
 from endivegw.exceptions import PeerError
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
@@ -22,24 +22,25 @@
 from endivegw.telemetry.catalogue import router as events
 from endivegw.types import InstanceId
 
-__all__ = ["RecoveryOptions", "RecoveryWatch", "is_on_duty"]
+__all__ = ["RecoveryOptions", "RecoveryWatch", "is_recovery_leader"]
 
 
-#: Heartbeats over the silence; one that is answered ends the suspicion.
-_PROBES = 6
+#: Number of heartbeats sent over ``silence_s``; a single reply ends the probing.
+_PROBE_COUNT = 6
 
 
 @frozen
 class RecoveryOptions:
-    """Hold the pace of recovery.
-
-    :param turn_s: how long one router is on duty. One scan of 370 holder rows
-        each turn is the whole fleet's cost while nothing fails.
-    :param silence_s: after how long without an answered heartbeat a listed
-        router counts as ended. Half a minute covers a paused machine and a lost
-        link; recovering a router that lives is safe, since the sidecars refuse
-        its work as not run, but costs it a new draw.
-    :param sweep_every: turns between two deletions of old rows.
+    """Hold the intervals and timeouts of recovery.
+
+    :param turn_s: seconds for which one router is the leader. While nothing fails,
+        the only cost for the whole fleet is one scan of 370 holder rows per turn.
+    :param silence_s: seconds without a heartbeat reply after which a listed router
+        counts as ended. Half a minute covers a paused vm and a lost link. Recovering
+        a router that is still alive is safe, since the sidecars refuse its work as
+        not run, but costs it a new draw.
+    :param probe_timeout_s: timeout in seconds of one heartbeat or table scan.
+    :param sweep_every: number of turns between two deletions of expired rows.
     """
 
     turn_s: float = 15.0
@@ -48,31 +49,31 @@
     sweep_every: int = 100
 
 
-def is_on_duty(routers: tuple[str, ...], own_vm: str, turn: int) -> bool:
-    """Return whether this router looks after the others in a turn.
+def is_recovery_leader(routers: tuple[str, ...], local_vm: str, turn: int) -> bool:
+    """Return whether this router is responsible for recovery in a turn.
 
-    Every router works it out alike from the platform's list. Where lists
-    differ, two may be on duty, or none: conditional writes decide between two,
-    and the next turn has another router.
+    Every router computes the leader from the platform's vm list by rendezvous
+    hashing. If the lists differ, there may be two leaders, or none: conditional
+    writes resolve conflicts between two, and the next turn has another leader.
     """
 
     def weight(vm: str) -> bytes:
         return hashlib.blake2b(f"{turn}|{vm}".encode(), digest_size=8).digest()
 
-    return bool(routers) and min(routers, key=weight) == own_vm
+    return bool(routers) and min(routers, key=weight) == local_vm
 
 
 class RecoveryWatch:
-    """Take turns with the other routers in looking for holders that ended."""
+    """Recover the grants of ended routers, in turns with the other routers."""
 
     def __init__(
         self,
-        own_vm: str,
-        own_instance: InstanceId,
+        local_vm: str,
+        local_instance: InstanceId,
         table: TablePort,
         vms: ObservedVmList,
         recovery: Recovery,
-        seals: SealCalls,
+        seal_client: SealClient,
         connect: ConnectRouter,
         router_port: int,
         header: Callable[[], pb.Header],
@@ -81,12 +82,12 @@
         log: EventLog,
         options: RecoveryOptions = RecoveryOptions(),
     ) -> None:
-        self._own_vm = own_vm
-        self._own_instance = own_instance
+        self._local_vm = local_vm
+        self._local_instance = local_instance
         self._table = table
         self._vms = vms
         self._recovery = recovery
-        self._seals = seals
+        self._seal_client = seal_client
         self._connect = connect
         self._router_port = router_port
         self._header = header
@@ -96,50 +97,56 @@
         self._options = options
 
     async def run(self) -> None:
-        """Look for as long as the router lives."""
+        """Recover the grants of predecessors, then take turns until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._recover_predecessors)
-            await self._take_turns()
+            await self._run_turns()
 
     async def _recover_predecessors(self) -> None:
-        """Recover what earlier processes on this machine held, at once.
+        """Recover the grants of earlier router processes on this vm immediately.
 
-        This process stands in their place, which proves that they have ended.
-        The sooner their grants are collected the better: a sidecar that is lost
-        before takes with it what it knew of them, and the account is charged
-        for tokens that nobody consumed.
+        This process has replaced them, which proves that they have ended. Their
+        grants are collected as soon as possible: if a sidecar is lost before, its
+        record of their consumption is lost as well, and the account is charged for
+        tokens that were not consumed.
         """
         while True:
-            holders = await self._holders(f"{self._own_vm}-")
+            holders = await self._holders(f"{self._local_vm}-")
             if holders is not None and self._vms.current:
                 if await self._recover(holders):
                     return
             await anyio.sleep(ROUND_S)
 
-    async def _take_turns(self) -> None:
+    async def _run_turns(self) -> None:
         last_turn = -1
         while True:
             await anyio.sleep(self._options.turn_s / 4 * self._rng.uniform(0.8, 1.2))
             turn = int(self._clock() // self._options.turn_s)
             routers = tuple(vm.vm for vm in self._vms.current if vm.role == ROUTER_ROLE)
-            if turn == last_turn or not is_on_duty(routers, self._own_vm, turn):
+            if turn == last_turn or not is_recovery_leader(
+                routers, self._local_vm, turn
+            ):
                 continue
             last_turn = turn
-            await self._look()
+            await self._recover_ended_holders()
             if turn % self._options.sweep_every == 0:
                 await self._recovery.delete_expired_rows()
 
-    async def _look(self) -> None:
-        """Recover each holder whose router has ended."""
+    async def _recover_ended_holders(self) -> None:
+        """Recover the grants of each holder whose process has ended."""
         holders = await self._holders("")
-        ended = [one for one in holders or () if await self._has_ended(one)]
+        ended = [
+            instance_id
+            for instance_id in holders or ()
+            if await self._has_ended(instance_id)
+        ]
         await self._recover(ended)
 
     async def _recover(self, ended: list[InstanceId]) -> bool:
-        """Go one round for each of these; return whether nothing is left."""
+        """Do one recovery round for each instance; return whether all are done."""
         if not ended:
             return True
-        await self._seals.learn_targets()
+        await self._seal_client.discover_targets()
         done = True
         for instance_id in ended:
             state = await self._recovery.recover(instance_id)
@@ -153,10 +160,10 @@
         return done
 
     async def _holders(self, prefix: str) -> list[InstanceId] | None:
-        """Return the instances that hold grants and are not this one.
+        """Return the other instances that hold grants.
 
-        :param prefix: of the holders' names, "" for all.
-        :returns: None where the table gave no answer.
+        :param prefix: prefix of the holders' names, "" for all.
+        :returns: None if the table did not answer.
         """
         found: set[InstanceId] = set()
         after: str | None = None
@@ -171,31 +178,31 @@
                 return None
             for row in page.value.rows:
                 holder = HolderRow.of(row)
-                if not holder.recovered and holder.instance_id != self._own_instance:
+                if not holder.recovered and holder.instance_id != self._local_instance:
                     found.add(holder.instance_id)
             after = page.value.next_sort
             if after is None:
                 return sorted(found)
 
     async def _has_ended(self, instance_id: InstanceId) -> bool:
-        """Return whether a router's process has ended, or seems to for long.
+        """Return whether a router's process has ended or is presumed to have ended.
 
-        Another process in its place is proof; silence is not, and takes the
-        whole half minute of probes.
+        Another process at its address is proof. An unresponsive router is only
+        presumed to have ended after all probes, which take ``silence_s``.
         """
         vm = vm_of_instance(instance_id)
-        if vm == self._own_vm:
+        if vm == self._local_vm:
             return True
         address = next((v.address for v in self._vms.current if v.vm == vm), None)
         if address is None:
-            # Off the list, which may lag or have skipped it: probing cannot
-            # tell, but sealing makes recovery safe in any case.
+            # The vm is not on the list, which may lag or have skipped it. Without an
+            # address it cannot be probed, but sealing makes recovery safe in any case.
             return bool(self._vms.current)
-        for _ in range(_PROBES):
+        for _ in range(_PROBE_COUNT):
             present = await self._instance_at(address)
             if present is not None:
                 return present != instance_id
-            await anyio.sleep(self._options.silence_s / _PROBES)
+            await anyio.sleep(self._options.silence_s / _PROBE_COUNT)
         return True
 
     async def _instance_at(self, address: str) -> InstanceId | None:
--- a/src/endivegw/daemons/request_content.py
+++ b/src/endivegw/daemons/request_content.py
@@ -1,4 +1,4 @@
-"""What one request's content and the ends of engines have to do with each other."""
+"""Connect one request to the quarantine of requests that terminate targets."""
 
 from __future__ import annotations
 
@@ -12,41 +12,42 @@
 from endivegw.results import Refused
 from endivegw.types import InstanceId
 
-__all__ = ["RequestContent"]
+__all__ = ["RequestQuarantine"]
 
 
-class RequestContent:
-    """Report one request's attempts, and say whether it may go to further targets."""
+class RequestQuarantine:
+    """Report one request's attempts to the quarantine, and query its decisions."""
 
     def __init__(self, plan: RequestPlan, quarantine: QuarantineManager) -> None:
         self._quarantine = quarantine
-        #: None for a body that flows through: its digest does not tell it from others.
-        self._fingerprint = _fingerprint(plan) if plan.can_be_sent_again else None
+        #: None for a streamed body, whose digest covers only its start and does not
+        #: identify the request.
+        self._fingerprint = _fingerprint(plan) if plan.is_resendable else None
 
     def refusal(self) -> Refused | None:
-        """Return why no target may get the request, None where one may."""
+        """Return the reason why no target may run the request, None if one may."""
         if self._fingerprint is None:
             return None
         return self._quarantine.refuse(self._fingerprint)
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether the request is not worth a second target."""
+        """Return whether the request must not be retried at a second target."""
         if self._fingerprint is None:
             return False
         return self._quarantine.is_suspect(self._fingerprint)
 
     def target_ended(self, end: str) -> None:
-        """Take in that a target ended while it ran the request.
+        """Record that a target terminated while it ran the request.
 
-        :param end: names the start that ended.
+        :param end: identifier of the target's start that terminated.
         """
         if self._fingerprint is not None:
             start = TargetStart(InstanceId(end), None)
             self._quarantine.record_termination(start, [self._fingerprint])
 
     def answered(self) -> None:
-        """Take in that a target ran the request to its end."""
+        """Record that a target completed the request."""
         if self._fingerprint is not None:
             self._quarantine.answered(self._fingerprint)
 
--- a/src/endivegw/daemons/request_driver.py
+++ b/src/endivegw/daemons/request_driver.py
@@ -1,4 +1,4 @@
-"""Carry out the steps of one request's state machine over real connections."""
+"""Execute the steps of one request's state machine over actual connections."""
 
 from __future__ import annotations
 
@@ -30,15 +30,16 @@
 
 _CANCEL_TIMEOUT_S = 1.0
 
-#: How long the last cancel may take after the deadline, for an honest word.
-_LAST_CANCEL_S = 1.5
+#: How long the final cancellation may take after the deadline, so that the caller
+#: can be sent the actual outcome.
+_FINAL_CANCEL_TIMEOUT_S = 1.5
 
 
 @frozen
 class PlacedTarget:
-    """Hold where a request goes.
+    """Hold the target chosen for a request.
 
-    :param incarnation: of the target's sidecar, from its last heartbeat.
+    :param incarnation: incarnation of the target's sidecar, from its last heartbeat.
     """
 
     target: TargetName
@@ -46,57 +47,59 @@
 
 
 class RequestPorts(Protocol):
-    """What the driver needs of the router around it, for one request."""
+    """Interface of the router that the driver of one request uses."""
 
     async def place(self, avoid: frozenset[TargetName]) -> PlacedTarget | Refused:
-        """Reserve tokens and find a target; waits in the queue where needed."""
+        """Reserve tokens and choose a target; wait in the queue if necessary."""
 
     def client(self, target: TargetName) -> SidecarClient | None:
-        """Return the connection to a target's sidecar, None where it is gone."""
+        """Return the connection to a target's sidecar, None if it is unknown."""
 
     def header(self) -> pb.Header:
-        """Return this process's header."""
+        """Return the message header of this process."""
 
     def start(self, step: HandOver) -> pb.ExecuteStart:
-        """Return the message for an order; the driver sets what the step says."""
+        """Return the message for an attempt; the driver adds the step's fields."""
 
     def may_start(self) -> bool:
-        """Return whether an order may still start the request.
+        """Return whether a message may still start the request.
 
-        False once a body that flows through was taken: a second order would
-        start the request with what the first one left of it.
+        False once a streamed body was read: a second message would start the
+        request with only the part of the body that the first one did not consume.
         """
 
     def body(self) -> AsyncIterator[bytes] | None:
-        """Return the rest of a body that was not held, None where it was."""
+        """Return the rest of a streamed body, None if the body was buffered."""
 
     async def claim(self, proposal: ClaimProposal) -> ClaimAnswer | None:
-        """Ask the slot's owner; None where it gave no answer."""
+        """Send a claim proposal to the slot's owner; None if it did not answer."""
 
     async def head(self, status: int, fields: tuple[tuple[str, str], ...]) -> None:
-        """Take the head of the answer; may come again after a reset."""
+        """Receive the head of the answer; may be called again after a reset."""
 
     async def data(self, data: bytes) -> None:
-        """Take the next bytes of the answer."""
+        """Receive the next bytes of the answer."""
 
     def reset(self) -> None:
-        """Drop the bytes that were held back from the caller."""
+        """Drop the buffered bytes that were not sent to the caller."""
 
-    def heard(self, header: pb.Header) -> None:
-        """Take in the header of a sidecar's frame."""
+    def on_header(self, header: pb.Header) -> None:
+        """Process the message header in a sidecar's frame."""
 
     def refused(self, step: HandOver, refused: Refused) -> None:
-        """Take in why an order started nothing, before the machine does."""
+        """Record a sidecar's refusal, before the state machine processes it."""
 
     def target_ended(self, end: str) -> None:
-        """Take in that a target ended with the request, before the machine does.
+        """Record that a target terminated while it ran the request.
 
-        :param end: names the start that ended.
+        Called before the state machine processes the failure.
+
+        :param end: identifier of the target's start that terminated.
         """
 
 
 class RequestDriver:
-    """Run one request from its first step to its ending."""
+    """Execute the steps of one request until it has ended."""
 
     def __init__(
         self,
@@ -109,31 +112,31 @@
         self._clock = clock
 
     async def run(self) -> Ending:
-        """Return how the request ended.
+        """Execute the request and return how it ended.
 
-        A cancelled task is a caller that went away; :meth:`stop` then ends the
-        attempt.
+        The task is cancelled if the caller disconnects; :meth:`stop` must then be
+        called to end the attempt.
         """
         remaining_s = self._machine.facts.deadline_s - self._clock()
         with anyio.move_on_after(max(0.0, remaining_s)):
-            return await self._steps(self._machine.start(self._clock()))
+            return await self._run_steps(self._machine.start(self._clock()))
         return await self.stop(Reason.DEADLINE)
 
     async def stop(self, reason: Reason) -> Ending:
-        """End the request for a passed deadline or a caller that went away."""
+        """End the request after its deadline or the caller's disconnect."""
         with anyio.CancelScope(shield=True):
-            with anyio.move_on_after(_LAST_CANCEL_S):
-                return await self._steps(self._machine.stop(reason, self._clock()))
+            with anyio.move_on_after(_FINAL_CANCEL_TIMEOUT_S):
+                return await self._run_steps(self._machine.stop(reason, self._clock()))
         step = self._machine.cancel_lost(self._clock())
         assert isinstance(step, Finish)
         return step.ending
 
-    async def _steps(self, step: Step) -> Ending:
+    async def _run_steps(self, step: Step) -> Ending:
         while not isinstance(step, Finish):
-            step = await self._carry_out(step)
+            step = await self._execute_step(step)
         return step.ending
 
-    async def _carry_out(self, step: Step) -> Step:
+    async def _execute_step(self, step: Step) -> Step:
         machine = self._machine
         match step:
             case Place(avoid=avoid):
@@ -171,11 +174,11 @@
         self._machine.handed_over()
         try:
             body = None if start.join_only else self._ports.body()
-            async with aclosing(_frames(client, start, body)) as frames:
+            async with aclosing(_open_stream(client, start, body)) as frames:
                 async for frame in frames:
                     if frame.HasField("header"):
-                        self._ports.heard(frame.header)
-                    next_step = await self._take(step, frame)
+                        self._ports.on_header(frame.header)
+                    next_step = await self._handle_frame(step, frame)
                     if next_step is not None:
                         return next_step
         except NotDelivered:
@@ -184,31 +187,31 @@
             pass
         return self._machine.lost(delivered=True, now_s=self._clock())
 
-    async def _take(self, order: HandOver, frame: pb.Frame) -> Step | None:
-        """Take one frame; return the next step where the stream is done with."""
+    async def _handle_frame(self, hand_over: HandOver, frame: pb.Frame) -> Step | None:
+        """Process one frame; return the next step if the stream need not be read on."""
         machine, now_s = self._machine, self._clock()
         attempt_id = AttemptId(frame.attempt_id)
         match frame.WhichOneof("kind"):
             case "refused":
-                refused = _refused(frame.refused)
-                self._ports.refused(order, refused)
+                refused = _parse_refusal(frame.refused)
+                self._ports.refused(hand_over, refused)
                 return machine.refused(refused, now_s)
             case "head":
                 step = machine.head(attempt_id, frame.head.joined, now_s)
                 if step is not None:
                     return step
-                # A head without a status only names the attempt: its target
-                # answered nothing, and the failure follows. Passed on, it would
-                # close the caller's connection without a word on the outcome.
+                # A head without a status only identifies the attempt: its target did
+                # not answer, and a failure follows. If it were forwarded, the caller's
+                # connection would be closed without a statement of the outcome.
                 if frame.head.status:
                     fields = tuple((f.name, f.value) for f in frame.head.fields)
                     await self._ports.head(frame.head.status, fields)
             case "data":
-                pieces = machine.data(attempt_id, frame.offset, frame.data, now_s)
-                if not isinstance(pieces, tuple):
-                    return pieces
-                for piece in pieces:
-                    await self._ports.data(piece.data)
+                chunks = machine.data(attempt_id, frame.offset, frame.data, now_s)
+                if not isinstance(chunks, tuple):
+                    return chunks
+                for chunk in chunks:
+                    await self._ports.data(chunk.data)
             case "end":
                 usage = Usage(frame.end.prompt_tokens, frame.end.completion_tokens)
                 return machine.ended(attempt_id, frame.end.length, usage, now_s)
@@ -219,7 +222,7 @@
                 usage = Usage(failed.prompt_tokens, failed.completion_tokens)
                 return machine.failed(
                     attempt_id,
-                    _reason(failed.reason),
+                    _parse_reason(failed.reason),
                     failed.detail,
                     usage,
                     failed.usage_final,
@@ -250,19 +253,19 @@
         )
 
 
-def _frames(
+def _open_stream(
     client: SidecarClient, start: pb.ExecuteStart, body: AsyncIterator[bytes] | None
 ) -> Any:
     return client.execute(start, body)
 
 
-def _refused(refusal: pb.Refusal) -> Refused:
+def _parse_refusal(refusal: pb.Refusal) -> Refused:
     retry_after_s = refusal.retry_after_s if refusal.retry_after_s >= 0 else None
-    return Refused(_reason(refusal.reason), refusal.detail, retry_after_s)
+    return Refused(_parse_reason(refusal.reason), refusal.detail, retry_after_s)
 
 
-def _reason(code: str) -> Reason:
-    # A newer sidecar may know reasons that this router does not.
+def _parse_reason(code: str) -> Reason:
+    # A newer sidecar may send reasons that this router does not know.
     try:
         return Reason(code)
     except ValueError:
--- a/src/endivegw/daemons/request_messages.py
+++ b/src/endivegw/daemons/request_messages.py
@@ -1,4 +1,4 @@
-"""The message that starts an attempt, made from a request's plan; pure."""
+"""Build the message that starts an attempt from a request's plan, without I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def start_message(
     plan: RequestPlan, header: pb.Header, reservation: Reservation | None, now_s: float
 ) -> pb.ExecuteStart:
-    """Return the message, without what the driver's step adds."""
+    """Return the start message, without the fields that the driver adds."""
     facts = plan.facts
     request = plan.request
     start = pb.ExecuteStart(
--- a/src/endivegw/daemons/request_money.py
+++ b/src/endivegw/daemons/request_money.py
@@ -1,4 +1,4 @@
-"""The reservations of one request: one in hand, one for each attempt."""
+"""The token reservations of one request: one unassigned, and one per attempt."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from endivegw.results import Reason, Refused
 from endivegw.types import AttemptId, Usage
 
-__all__ = ["BoundReservation", "RequestMoney"]
+__all__ = ["AttemptReservation", "RequestReservations"]
 
 
 @define
-class BoundReservation:
-    """Hold an attempt that was handed over, and the tokens that it may consume.
+class AttemptReservation:
+    """Hold an attempt sent to a sidecar, and the tokens reserved for it.
 
-    :ivar reservation: None for a plain service, which consumes none.
+    :ivar reservation: None for a plain service, which consumes no tokens.
+    :ivar settled: whether the attempt's consumption is known and was charged.
     """
 
     step: HandOver
@@ -27,11 +28,12 @@
     settled: bool = False
 
 
-class RequestMoney:
-    """Reserve before each attempt, and settle when its consumption is known.
+class RequestReservations:
+    """Reserve tokens before each attempt, and settle once its consumption is known.
 
-    An attempt whose end is not known keeps its tokens: giving them back could
-    let the account spend them twice. The next attempt gets tokens of its own.
+    An attempt whose outcome is not known keeps its reservation: releasing it could
+    let the account spend the tokens twice. The next attempt gets a reservation of
+    its own.
     """
 
     def __init__(
@@ -43,22 +45,22 @@
         self._plan = plan
         self._budget_manager = budget_manager
         self._clock = clock
-        self._in_hand: Reservation | None = None
-        self._bound: dict[AttemptId, BoundReservation] = {}
-        #: Tokens of all attempts whose consumption is known.
-        self.finished_tokens = 0
+        self._unassigned: Reservation | None = None
+        self._by_attempt: dict[AttemptId, AttemptReservation] = {}
+        #: Tokens consumed by all attempts whose consumption is known.
+        self.consumed_tokens = 0
 
     @property
-    def any_bound(self) -> bool:
+    def may_have_consumed(self) -> bool:
         """Return whether an attempt of this router may have consumed tokens."""
-        return any(not b.settled for b in self._bound.values()) or (
-            self.finished_tokens > 0
+        return any(not attempt.settled for attempt in self._by_attempt.values()) or (
+            self.consumed_tokens > 0
         )
 
     async def reserve(self) -> Refused | None:
-        """Have a reservation in hand; None where there is one."""
+        """Ensure that an unassigned reservation exists; return any refusal."""
         bound_tokens = self._plan.bound.total_tokens
-        if bound_tokens == 0 or self._in_hand is not None:
+        if bound_tokens == 0 or self._unassigned is not None:
             return None
         request = self._plan.request
         reserved = await self._budget_manager.reserve(
@@ -70,47 +72,49 @@
         )
         if isinstance(reserved, Refused):
             return reserved
-        self._in_hand = reserved
+        self._unassigned = reserved
         return None
 
-    def bind(self, step: HandOver) -> Reservation | None:
-        """Give the tokens in hand to an attempt; a repeated order keeps them."""
-        bound = self._bound.get(step.attempt_id)
-        if bound is None:
-            bound = BoundReservation(step, self._in_hand)
-            self._in_hand = None
-            self._bound[step.attempt_id] = bound
-        return bound.reservation
+    def assign(self, step: HandOver) -> Reservation | None:
+        """Assign the reservation to an attempt; a resent attempt keeps its own."""
+        attempt = self._by_attempt.get(step.attempt_id)
+        if attempt is None:
+            attempt = AttemptReservation(step, self._unassigned)
+            self._unassigned = None
+            self._by_attempt[step.attempt_id] = attempt
+        return attempt.reservation
 
     def refused(self, attempt_id: AttemptId, refused: Refused) -> None:
-        """Drop a grant that the sidecar knows to be sealed."""
-        bound = self._bound.get(attempt_id)
-        if refused.reason is not Reason.GRANT_SEALED or bound is None:
+        """Drop the attempt's grant if the sidecar refused it as sealed."""
+        attempt = self._by_attempt.get(attempt_id)
+        if refused.reason is not Reason.GRANT_SEALED or attempt is None:
             return
-        if bound.reservation is not None:
-            self._budget_manager.grant_sealed(bound.reservation.grant_id, self._clock())
+        if attempt.reservation is not None:
+            self._budget_manager.grant_sealed(
+                attempt.reservation.grant_id, self._clock()
+            )
 
     def settle(self, charges: Mapping[AttemptId, Usage | None]) -> None:
-        """Charge each attempt whose consumption is known by now."""
-        for attempt_id, bound in self._bound.items():
+        """Charge each attempt whose consumption has become known."""
+        for attempt_id, attempt in self._by_attempt.items():
             usage = charges.get(attempt_id)
-            if bound.settled or usage is None:
+            if attempt.settled or usage is None:
                 continue
-            bound.settled = True
-            if bound.reservation is None:
+            attempt.settled = True
+            if attempt.reservation is None:
                 continue
             if usage == Usage():
-                self._budget_manager.release(bound.reservation, self._clock())
+                self._budget_manager.release(attempt.reservation, self._clock())
                 continue
-            self.finished_tokens += usage.total_tokens
-            self._budget_manager.finish(bound.reservation, usage, self._clock())
+            self.consumed_tokens += usage.total_tokens
+            self._budget_manager.finish(attempt.reservation, usage, self._clock())
 
-    def unsettled(self) -> list[BoundReservation]:
+    def unsettled(self) -> list[AttemptReservation]:
         """Return the attempts whose consumption is not known."""
-        return [bound for bound in self._bound.values() if not bound.settled]
+        return [attempt for attempt in self._by_attempt.values() if not attempt.settled]
 
     def release(self) -> None:
-        """Give back the tokens in hand."""
-        if self._in_hand is not None:
-            self._budget_manager.release(self._in_hand, self._clock())
-            self._in_hand = None
+        """Release the unassigned reservation."""
+        if self._unassigned is not None:
+            self._budget_manager.release(self._unassigned, self._clock())
+            self._unassigned = None
--- a/src/endivegw/daemons/request_plan.py
+++ b/src/endivegw/daemons/request_plan.py
@@ -1,4 +1,4 @@
-"""What a request needs, worked out before anything is done; pure."""
+"""Compute the fixed parameters of a request before it is executed, without I/O."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 __all__ = ["PREFIX_SCHEME", "RequestPlan", "plan_request", "work_item"]
 
-#: How the engines at hand name prompt prefixes in their cache events.
+#: How the supported engines identify prompt prefixes in their cache events.
 PREFIX_SCHEME = PrefixScheme()
 
 
 @frozen
 class RequestPlan:
-    """Hold what is fixed for one request.
+    """Hold the parameters that stay fixed for one request.
 
-    :param bound: the most that one attempt may consume; nothing for a plain
-        service.
+    :param bound: the maximum number of tokens that one attempt may consume; zero
+        for a plain service.
+    :param model: the model with its adapter, or the service, that targets must serve.
     :param prefixes: digests of the prompt's leading blocks.
     """
 
@@ -39,14 +40,14 @@
     prefixes: tuple[bytes, ...]
 
     @property
-    def can_be_sent_again(self) -> bool:
-        """Return False for a body that flows through and is not held."""
+    def is_resendable(self) -> bool:
+        """Return whether the body is buffered, not streamed."""
         call = self.request.call
         return not (isinstance(call, ServiceCall) and call.rest is not None)
 
 
 def plan_request(request: RoutedRequest) -> RequestPlan:
-    """Return the plan of a request."""
+    """Return the plan for a request."""
     match request.call:
         case EngineCall() as call:
             digest = hashlib.sha256(call.body).digest()
@@ -55,8 +56,8 @@
             model = f"{call.model}+{call.adapter}" if call.adapter else call.model
             prefixes = prefix_digests(call.prefix_text, PREFIX_SCHEME)
         case ServiceCall() as call:
-            line = f"{call.service} {call.method} {call.path}\n"
-            digest = hashlib.sha256(line.encode() + call.body).digest()
+            request_line = f"{call.service} {call.method} {call.path}\n"
+            digest = hashlib.sha256(request_line.encode() + call.body).digest()
             bound = RequestBound(0, 0)
             model = SERVICE_PREFIX + call.service
             prefixes = ()
@@ -75,7 +76,7 @@
 
 
 def work_item(plan: RequestPlan, avoid: frozenset[TargetName]) -> WorkItem:
-    """Return the request as the dispatcher sees it."""
+    """Return the request as a work item for the dispatcher."""
     request = plan.request
     return WorkItem(
         request_id=request.request_id,
--- a/src/endivegw/daemons/request_run.py
+++ b/src/endivegw/daemons/request_run.py
@@ -1,15 +1,15 @@
-"""One request on its way: carry out the machine's steps, settle, bill, log."""
+"""Execution of one request: drive its state machine, then settle, bill and log it."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, AsyncIterator
 
 from endivegw.budgets import BillLine
-from endivegw.daemons.held_attempts import HeldAttempt, HeldAttempts
-from endivegw.daemons.request_content import RequestContent
+from endivegw.daemons.held_attempts import AttemptResolver, UnresolvedAttempt
+from endivegw.daemons.request_content import RequestQuarantine
 from endivegw.daemons.request_driver import PlacedTarget, RequestDriver
 from endivegw.daemons.request_messages import start_message
-from endivegw.daemons.request_money import RequestMoney
+from endivegw.daemons.request_money import RequestReservations
 from endivegw.daemons.request_plan import RequestPlan, work_item
 from endivegw.daemons.routed import (
     Answered,
@@ -35,7 +35,7 @@
 
 
 class RequestRun:
-    """Be the router around one request's driver, and settle when it has ended."""
+    """Provide the router's ports to one request's driver, and settle the request."""
 
     def __init__(
         self,
@@ -43,114 +43,119 @@
         machine: RequestStateMachine,
         sink: AnswerSink,
         parts: RunnerParts,
-        held: HeldAttempts,
+        attempt_resolver: AttemptResolver,
     ) -> None:
         self._plan = plan
         self._machine = machine
         self._sink = sink
         self._parts = parts
-        self._held = held
-        self._money = RequestMoney(plan, parts.budget_manager, parts.clock)
-        self._content = RequestContent(plan, parts.quarantine)
+        self._attempt_resolver = attempt_resolver
+        self._reservations = RequestReservations(
+            plan, parts.budget_manager, parts.clock
+        )
+        self._quarantine = RequestQuarantine(plan, parts.quarantine)
         self._driver = RequestDriver(machine, self, parts.clock)
-        self._placed: Placement | None = None
+        self._placement: Placement | None = None
         self._retry_after_s: float | None = None
-        self._headed = False
-        self._body_spent = False
-        self._begun = False
+        self._head_sent = False
+        self._body_consumed = False
+        self._data_received = False
         #: Whether the request was settled, billed and logged.
         self.ended = False
 
-    async def to_end(self) -> RequestEnd:
-        """Carry out step after step and return how the request ended."""
+    async def run(self) -> RequestEnd:
+        """Execute the request and return how it ended."""
         return self._finish(await self._driver.run())
 
     async def abandon(self) -> None:
-        """End the request for a caller that went away."""
+        """End the request after its caller has disconnected."""
         self._finish(await self._driver.stop(Reason.CANCELLED))
 
-    # What the driver asks of the router.
+    # Implementation of RequestPorts.
 
     async def place(self, avoid: frozenset[TargetName]) -> PlacedTarget | Refused:
-        """Reserve tokens and find a target; waits in the queue where needed."""
-        self._leave_target()
-        self._money.settle(self._machine.charges)
-        refusal = self._content.refusal()
-        if refusal is None and avoid and self._content.is_suspect:
-            detail = "targets ended while they ran it"
+        """Reserve tokens and choose a target; wait in the queue if necessary."""
+        self._release_target()
+        self._reservations.settle(self._machine.charges)
+        refusal = self._quarantine.refusal()
+        if refusal is None and avoid and self._quarantine.is_suspect:
+            detail = "a target terminated while it ran the request"
             refusal = Refused(Reason.TARGET_FAILED, detail)
         if refusal is not None:
             self._retry_after_s = refusal.retry_after_s
             return refusal
-        if self._body_spent:
-            return Refused(Reason.TARGET_FAILED, "the body cannot be sent again", 1.0)
-        refused = await self._money.reserve()
+        if self._body_consumed:
+            return Refused(
+                Reason.TARGET_FAILED, "a streamed body cannot be resent", 1.0
+            )
+        refused = await self._reservations.reserve()
         if refused is None:
             found = await self._parts.queue.place(work_item(self._plan, avoid))
             if isinstance(found, Placement):
-                return self._take_place(found)
+                return self._accept_placement(found)
             refused = found
         self._retry_after_s = refused.retry_after_s
         return refused
 
     def client(self, target: TargetName) -> SidecarClient | None:
-        """Return the connection to a target's sidecar, None where it is gone."""
+        """Return the connection to a target's sidecar, None if it is unknown."""
         link = self._parts.sidecars.find(target)
         return None if link is None else link.client
 
     def header(self) -> pb.Header:
-        """Return this process's header."""
+        """Return the message header of this process."""
         return self._parts.header()
 
     def start(self, step: HandOver) -> pb.ExecuteStart:
-        """Return the message for an order, with the tokens that it may consume."""
-        reservation = None if step.join_only else self._money.bind(step)
+        """Return the message for an attempt, with the tokens that it may consume."""
+        reservation = None if step.join_only else self._reservations.assign(step)
         now_s = self._parts.clock()
         return start_message(self._plan, self._parts.header(), reservation, now_s)
 
     def may_start(self) -> bool:
-        """Return whether an order may still start the request."""
-        return not self._body_spent
+        """Return whether a message may still start the request."""
+        return not self._body_consumed
 
     def body(self) -> AsyncIterator[bytes] | None:
-        """Return the rest of a body that was not held, None where it was.
+        """Return the rest of a streamed body, None if the body was buffered.
 
-        It flows through once. What a second target would get is what the first
-        one left, and the service would take that for the whole body.
+        The rest can be read only once. A second target would receive only what the
+        first one did not consume, and the service would treat it as the complete
+        body.
         """
-        self._body_spent = not self._plan.can_be_sent_again
+        self._body_consumed = not self._plan.is_resendable
         call = self._plan.request.call
         return call.rest if isinstance(call, ServiceCall) else None
 
     async def claim(self, proposal: ClaimProposal) -> ClaimAnswer | None:
-        """Ask the slot's owner; None where it gave no answer."""
+        """Send a claim proposal to the slot's owner; None if it did not answer."""
         return await self._parts.claims.claim(self._plan.facts.identity, proposal)
 
     async def head(self, status: int, fields: tuple[tuple[str, str], ...]) -> None:
-        """Take the head of the answer; a rejoined answer brings it again."""
-        if not self._headed:
-            self._headed = True
+        """Forward the head of the answer; a rejoined answer repeats it."""
+        if not self._head_sent:
+            self._head_sent = True
             await self._sink.head(status, fields)
 
     async def data(self, data: bytes) -> None:
-        """Take the next bytes of the answer."""
-        if not self._begun:
-            self._begun = True
-            self._first_data()
+        """Forward the next bytes of the answer."""
+        if not self._data_received:
+            self._data_received = True
+            self._record_first_data()
         await self._sink.data(data)
 
     def reset(self) -> None:
-        """Drop the bytes that were held back from the caller."""
+        """Drop the buffered bytes that were not sent to the caller."""
         self._sink.reset()
 
-    def heard(self, header: pb.Header) -> None:
-        """Take in the header of a sidecar's frame."""
+    def on_header(self, header: pb.Header) -> None:
+        """Process the message header in a sidecar's frame."""
         self._parts.on_header(header)
 
     def refused(self, step: HandOver, refused: Refused) -> None:
-        """Take in why an order started nothing, before the machine does."""
+        """Record a sidecar's refusal, before the state machine processes it."""
         self._retry_after_s = refused.retry_after_s
-        self._money.refused(step.attempt_id, refused)
+        self._reservations.refused(step.attempt_id, refused)
         self._parts.log.emit(
             events.REQUEST_RETRIED,
             request_id=self._plan.request.request_id,
@@ -160,63 +165,69 @@
         )
 
     def target_ended(self, end: str) -> None:
-        """Take in that a target ended with the request, before the machine does."""
-        self._content.target_ended(end)
+        """Record that a target terminated while it ran the request.
+
+        Called before the state machine processes the failure.
+        """
+        self._quarantine.target_ended(end)
 
-    def _take_place(self, placed: Placement) -> PlacedTarget:
-        self._placed = placed
-        link = self._parts.sidecars.find(placed.target)
+    def _accept_placement(self, placement: Placement) -> PlacedTarget:
+        self._placement = placement
+        link = self._parts.sidecars.find(placement.target)
         self._parts.log.emit(
             events.REQUEST_PLACED,
             request_id=self._plan.request.request_id,
-            target=placed.target,
-            why=placed.why,
-            figures=str(placed.figures),
+            target=placement.target,
+            why=placement.why,
+            figures=str(placement.figures),
         )
         incarnation = link.start_incarnation if link is not None else ""
-        return PlacedTarget(placed.target, incarnation)
+        return PlacedTarget(placement.target, incarnation)
 
     def _finish(self, ending: Ending) -> RequestEnd:
-        """Settle, bill and log; nothing here waits, so nothing is cut short."""
+        """Settle, bill and log the request; synchronous, so it cannot be cancelled."""
         self.ended = True
         charges = self._machine.charges
         is_answered = ending.outcome is Outcome.ANSWERED
         if is_answered:
-            self._content.answered()
-        self._leave_target(answered=is_answered)
-        self._money.settle(charges)
+            self._quarantine.answered()
+        self._release_target(answered=is_answered)
+        self._reservations.settle(charges)
         to_cancel = {step.attempt_id for step in self._machine.abandoned}
-        for bound in self._money.unsettled():
-            attempt_id = bound.step.attempt_id
-            self._held.add(
-                HeldAttempt(
-                    bound.step, bound.reservation, self._plan, attempt_id in to_cancel
+        for attempt in self._reservations.unsettled():
+            attempt_id = attempt.step.attempt_id
+            self._attempt_resolver.add(
+                UnresolvedAttempt(
+                    attempt.step,
+                    attempt.reservation,
+                    self._plan,
+                    attempt_id in to_cancel,
                 )
             )
-        self._money.release()
+        self._reservations.release()
         self._bill(ending)
         self._log_end(ending)
-        return _end_of(ending, self._retry_after_s)
+        return _request_end(ending, self._retry_after_s)
 
-    def _leave_target(self, answered: bool = False) -> None:
-        """Tell the dispatcher that the place at the target is free."""
-        placed = self._placed
-        if placed is None:
+    def _release_target(self, answered: bool = False) -> None:
+        """Notify the dispatcher that the attempt at the target has ended."""
+        placement = self._placement
+        if placement is None:
             return
-        self._placed = None
+        self._placement = None
         usage, kind = self._last_charge(answered)
         self._parts.queue.dispatcher.ended(
             self._plan.request.request_id,
-            placed.target,
+            placement.target,
             AttemptEnd(kind, usage.prompt_tokens, usage.completion_tokens),
             self._parts.clock(),
         )
-        self._parts.queue.kick()
+        self._parts.queue.wake()
 
     def _last_charge(self, answered: bool) -> tuple[Usage, AttemptKind]:
-        """Return what the attempt at the target consumed, and how it ended.
+        """Return the usage of the last attempt, and how it ended.
 
-        Charges are kept in the order of the attempts.
+        The state machine's charges are in the order of the attempts.
         """
         charges = list(self._machine.charges.values())
         usage = charges[-1] if charges else Usage()
@@ -229,40 +240,43 @@
         return usage, AttemptKind.FAILED
 
     def _bill(self, ending: Ending) -> None:
-        """Write the request's one line, unless another router's attempt answered.
+        """Write the request's bill line.
 
-        What this router's own attempts consumed beside the answer stands on the
-        line as lost; an attempt whose end is not known gets a record of its own
-        when it is.
+        No line is written unless an attempt of this router may have consumed tokens.
+        If another router's attempt answered, the line has no answer tokens. Tokens
+        that this router's attempts consumed in addition to the answer are billed as
+        lost. An attempt whose outcome is not known gets a separate record once it is
+        resolved.
         """
-        if not self._money.any_bound:
+        if not self._reservations.may_have_consumed:
             return
         answered = ending.usage if ending.outcome is Outcome.ANSWERED else Usage()
-        consumed = self._money.finished_tokens
-        own = consumed >= answered.total_tokens
+        consumed = self._reservations.consumed_tokens
+        answered_here = consumed >= answered.total_tokens
         line = BillLine(
             identity=self._billed_identity(),
             budget=self._plan.request.budget,
-            prompt_tokens=answered.prompt_tokens if own else 0,
-            completion_tokens=answered.completion_tokens if own else 0,
-            lost_tokens=consumed - answered.total_tokens if own else consumed,
+            prompt_tokens=answered.prompt_tokens if answered_here else 0,
+            completion_tokens=answered.completion_tokens if answered_here else 0,
+            lost_tokens=consumed - answered.total_tokens if answered_here else consumed,
             outcome=ending.outcome,
             ended_at_s=self._parts.clock(),
         )
         self._parts.budget_manager.bill(line)
 
     def _billed_identity(self) -> RequestIdentity:
-        """Return a name for the line that no other request of any caller has.
+        """Return an identity for the bill line that is unique among all requests.
 
-        A caller's second request under one key is another request where the
-        first one's attempt was lost and it ran again.
+        The idempotency key alone is not unique: if the attempt of a first request
+        was lost, a second request under the same key runs again and is billed
+        separately.
         """
         request = self._plan.request
         key = request.idempotency_key
         name = f"{key}#{request.request_id}" if key else request.request_id
         return RequestIdentity(request.account.client_account, name)
 
-    def _first_data(self) -> None:
+    def _record_first_data(self) -> None:
         request = self._plan.request
         now_s = self._parts.clock()
         self._parts.queue.dispatcher.first_token(request.request_id, now_s)
@@ -288,12 +302,12 @@
             request_id=request.request_id,
             client_account=request.account.client_account,
             outcome=ending.outcome.value,
-            total_tokens=self._money.finished_tokens,
+            total_tokens=self._reservations.consumed_tokens,
             elapsed_s=round(elapsed_s, 4),
         )
 
 
-def _end_of(ending: Ending, retry_after_s: float | None) -> RequestEnd:
+def _request_end(ending: Ending, retry_after_s: float | None) -> RequestEnd:
     reason = ending.reason or Reason.TARGET_FAILED
     match ending.outcome:
         case Outcome.ANSWERED:
--- a/src/endivegw/daemons/request_runner.py
+++ b/src/endivegw/daemons/request_runner.py
@@ -1,4 +1,4 @@
-"""Carry requests of callers to their ends; the decisions are the machine's."""
+"""Execute callers' requests as decided by each request's state machine."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from endivegw.budgets import BudgetManager
 from endivegw.daemons.background import Background
 from endivegw.daemons.claim_client import ClaimClient
-from endivegw.daemons.held_attempts import HeldAttempts
+from endivegw.daemons.held_attempts import AttemptResolver
 from endivegw.daemons.placement_queue import PlacementQueue
 from endivegw.daemons.request_plan import plan_request
 from endivegw.daemons.request_run import RequestRun
@@ -30,10 +30,12 @@
 
 @frozen
 class RunnerParts:
-    """Hold what the runs of all requests of a router share.
+    """Hold the components that all requests of a router share.
 
     :param header: returns the header of this process for each message.
-    :param on_header: takes the headers of answers, for the configuration.
+    :param on_header: receives the headers of replies, whose configuration revision
+        and sender are recorded.
+    :param clock: returns seconds on a monotonic clock.
     """
 
     budget_manager: BudgetManager
@@ -52,17 +54,17 @@
 
 
 class RequestRunner:
-    """Carry out the requests of one router.
+    """Execute the requests of one router.
 
-    :param background: outlives each request; what must be settled after its
-        caller went away is settled there.
+    :param background: outlives each request, and runs its cleanup if the caller
+        disconnects.
     """
 
     def __init__(self, parts: RunnerParts, background: Background) -> None:
         self._parts = parts
         self._background = background
         self._retries = RetryBudget(parts.retry_policy)
-        self.held = HeldAttempts(
+        self.attempt_resolver = AttemptResolver(
             parts.budget_manager,
             parts.sidecars,
             parts.header,
@@ -72,15 +74,15 @@
         )
 
     async def run(self, request: RoutedRequest, sink: AnswerSink) -> RequestEnd:
-        """Send the answer into the sink and return how the request ended."""
+        """Write the answer to the sink and return how the request ended."""
         run = self._new_run(request, sink)
         try:
-            return await run.to_end()
+            return await run.run()
         finally:
             if not run.ended:
-                # The caller went away, and this task is being cancelled with
-                # it: the engine, the queue place and the tokens are freed, and
-                # the bill is written, by a task that lives on.
+                # The caller disconnected, and this task is being cancelled. A
+                # background task cancels the attempt, releases the placement and the
+                # tokens, and writes the bill.
                 self._background.start_soon(run.abandon)
 
     def _new_run(self, request: RoutedRequest, sink: AnswerSink) -> RequestRun:
@@ -94,4 +96,4 @@
             parts.rng,
             lambda: AttemptId(uuid.uuid4().hex),
         )
-        return RequestRun(plan, machine, sink, parts, self.held)
+        return RequestRun(plan, machine, sink, parts, self.attempt_resolver)
--- a/src/endivegw/daemons/routed.py
+++ b/src/endivegw/daemons/routed.py
@@ -1,4 +1,4 @@
-"""Messages between a router's HTTP front and the run of one request."""
+"""Types exchanged between a router's HTTP frontend and the execution of requests."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @frozen
 class EngineCall:
-    """Hold a generation that a caller asked for."""
+    """Hold a generation that a caller requested from an engine."""
 
     body: bytes
     chat: bool
@@ -37,10 +37,11 @@
 
 @frozen
 class ServiceCall:
-    """Hold a call of a plain service.
+    """Hold a call to a plain service.
 
-    :param body: the whole body where it was small enough to be held.
-    :param rest: what follows ``body`` where it was not; such a call cannot be
+    :param body: the complete body if it was small enough to be buffered, otherwise
+        its start.
+    :param rest: the remainder of a body that was not buffered; such a call cannot be
         sent twice.
     """
 
@@ -56,10 +57,11 @@
 class RoutedRequest:
     """Hold one accepted request.
 
-    :param request_id: unique, for logs and the answer's header.
-    :param idempotency_key: the caller's, None where it sent none.
-    :param deadline_s: on the router's clock.
-    :param streams: whether the caller reads the answer while it is made.
+    :param request_id: unique id for logs and the answer's header.
+    :param idempotency_key: the caller's key, None if it sent none.
+    :param arrived_s: time on the router's clock.
+    :param deadline_s: time on the router's clock.
+    :param streams: whether the caller receives the answer while it is generated.
     """
 
     request_id: str
@@ -76,36 +78,36 @@
 
 @frozen
 class Answered:
-    """Say that the caller has the whole answer."""
+    """Result of a request whose caller was sent the complete answer."""
 
     usage: Usage
 
 
 @frozen
 class RefusedTry:
-    """Say that this try started nothing, and that an earlier one may have.
+    """Result of a try that started nothing, although an earlier try may have.
 
-    The request's idempotency key was not looked up, so that nobody can say whether
-    another router ran it.
+    The request's idempotency key was not looked up, so it is not known whether
+    another router ran the request.
     """
 
     refused: Refused
 
 
-#: Ends without an answer, each with a reason.
+#: Results without a complete answer; each has a reason.
 NotAnswered = Refused | RefusedTry | Unknown
 
 RequestEnd = Answered | NotAnswered
 
 
 class AnswerSink(Protocol):
-    """Where the bytes of an answer go, in order and once."""
+    """Receive the bytes of an answer, in order and once."""
 
     def reset(self) -> None:
-        """Drop bytes that are held back: the answer begins anew."""
+        """Drop buffered bytes: the answer starts again from the first byte."""
 
     async def head(self, status: int, fields: tuple[tuple[str, str], ...]) -> None:
-        """Take the status and header fields; called once, before any data."""
+        """Receive the status and header fields; called once, before any data."""
 
     async def data(self, data: bytes) -> None:
-        """Take the next bytes of the answer."""
+        """Receive the next bytes of the answer."""
--- a/src/endivegw/daemons/router.py
+++ b/src/endivegw/daemons/router.py
@@ -1,4 +1,4 @@
-"""The router daemon: callers' HTTP in front, sidecars behind."""
+"""The router daemon: accepts callers' HTTP requests and forwards them to sidecars."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from endivegw.budgets import BudgetManager
 from endivegw.configuration.agent import ConfigurationAgent
 from endivegw.daemons.background import Background
-from endivegw.daemons.http_front import HttpFront
+from endivegw.daemons.http_front import HttpFrontend
 from endivegw.daemons.http_messages import header_limit
-from endivegw.daemons.lent_grants import LentGrants
-from endivegw.daemons.peer_book import PeerBook
+from endivegw.daemons.lent_grants import StrandedGrantRecovery
+from endivegw.daemons.peer_directory import PeerDirectory
 from endivegw.daemons.placement_queue import PlacementQueue
 from endivegw.daemons.recovery_watch import RecoveryWatch
 from endivegw.daemons.request_runner import RequestRunner, RunnerParts
-from endivegw.daemons.router_news import RouterNews
+from endivegw.daemons.router_news import EvidenceBroadcaster
 from endivegw.daemons.router_service import RouterService
-from endivegw.daemons.router_watch import RouterWatch
+from endivegw.daemons.router_watch import RouterHeartbeats
 from endivegw.daemons.slot_map_reader import SlotMapReader
 from endivegw.daemons.target_watch import TargetWatch
 from endivegw.http_server import ServedAddress, serve_asgi
@@ -33,21 +33,21 @@
 
 __all__ = ["Router", "RouterParts"]
 
-#: How often a planned stop looks whether all answers have ended.
-_DRAIN_LOOK_S = 0.05
+#: Interval at which a graceful shutdown checks whether all answers have ended.
+_DRAIN_POLL_S = 0.05
 
-#: How long the balancer is given to notice that the health page fails, before
-#: idle connections are closed. Requests that arrive meanwhile are refused as
-#: not run, and the balancer's next try goes elsewhere.
+#: Time for the load balancer to detect the failing readiness check before idle
+#: connections are closed. Requests that arrive in this time are refused as not run,
+#: and the load balancer's next try goes to another router.
 _DRAIN_NOTICE_S = 1.0
 
-#: What settling and returning grants may take at the end of a planned stop.
-_CLOSE_BOUND_S = 10.0
+#: Timeout for settling and returning grants at the end of a graceful shutdown.
+_CLOSE_TIMEOUT_S = 10.0
 
 
 @frozen
 class RouterParts:
-    """Hold what the composition root wired for one router."""
+    """Hold the components that the composition root creates for one router."""
 
     settings: RouterSettings
     instance_id: InstanceId
@@ -55,13 +55,13 @@
     budget_manager: BudgetManager
     queue: PlacementQueue
     watch: TargetWatch
-    routers: RouterWatch
+    routers: RouterHeartbeats
     recovery: RecoveryWatch
-    lent: LentGrants
+    stranded_grants: StrandedGrantRecovery
     slots: SlotMapReader
     runner: RunnerParts
-    book: PeerBook
-    news: RouterNews
+    peer_directory: PeerDirectory
+    broadcaster: EvidenceBroadcaster
     header: Callable[[], pb.Header]
     on_header: Callable[[pb.Header], None]
     security: PeerSecurity
@@ -76,11 +76,11 @@
         self._parts = parts
         self._draining = False
         self._stopped = anyio.Event()
-        self._front: HttpFront | None = None
+        self._frontend: HttpFrontend | None = None
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether this router accepts new requests."""
         parts = self._parts
         if self._draining or not parts.configuration.ready:
             return False
@@ -88,38 +88,38 @@
 
     @property
     def instance_id(self) -> InstanceId:
-        """Return the name of this start of this process."""
+        """Return the id of this process, which is unique for each start."""
         return self._parts.instance_id
 
     @property
     def in_progress(self) -> int:
-        """Return how many requests have not ended."""
-        return 0 if self._front is None else self._front.in_progress
+        """Return the number of requests that have not ended."""
+        return 0 if self._frontend is None else self._frontend.in_progress
 
     async def run(
         self, *, task_status: TaskStatus[ServedAddress] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until :meth:`drain` has ended or the task is cancelled."""
+        """Serve until :meth:`drain` has completed or the task is cancelled."""
         try:
             await self._run(task_status)
         finally:
-            self._parts.book.close()
+            self._parts.peer_directory.close()
             self._parts.runner.claims.close()
 
     async def _run(self, task_status: TaskStatus[ServedAddress]) -> None:
         parts = self._parts
         async with anyio.create_task_group() as tasks:
-            self._front = self._build_front(tasks)
+            self._frontend = self._build_frontend(tasks)
             for run in (
                 parts.configuration.run,
                 parts.watch.run,
                 parts.routers.run,
                 parts.recovery.run,
-                parts.lent.run,
+                parts.stranded_grants.run,
                 parts.slots.run,
                 parts.queue.run,
                 parts.budget_manager.run,
-                parts.news.run,
+                parts.broadcaster.run,
                 parts.runner.quarantine.run,
             ):
                 tasks.start_soon(run)
@@ -129,7 +129,7 @@
                 serve_peers, (service,), peers.ip, peers.port, parts.security
             )
             listen = parts.settings.listen
-            address = await tasks.start(self._serve_front, listen.ip, listen.port)
+            address = await tasks.start(self._serve_frontend, listen.ip, listen.port)
             parts.log.emit(
                 events.DAEMON_STARTED,
                 role="router",
@@ -141,10 +141,10 @@
             tasks.cancel_scope.cancel()
 
     async def drain(self) -> None:
-        """Take no new work, let what runs end, settle, and stop.
+        """Refuse new requests, wait for those in progress, settle, and stop.
 
-        Cutting off an answer would cost a caller its request, so the bound is
-        long; it is there for an answer that never ends.
+        Aborting an answer would cost the caller its request, so the time limit
+        ``drain_bound_s`` is long; it only serves to stop an answer that never ends.
         """
         parts = self._parts
         self._draining = True
@@ -157,26 +157,26 @@
         await anyio.sleep(_DRAIN_NOTICE_S)
         with anyio.move_on_after(parts.settings.process.drain_bound_s):
             while self.in_progress:
-                await anyio.sleep(_DRAIN_LOOK_S)
-        cut_off = self.in_progress
-        with anyio.move_on_after(_CLOSE_BOUND_S):
+                await anyio.sleep(_DRAIN_POLL_S)
+        aborted = self.in_progress
+        with anyio.move_on_after(_CLOSE_TIMEOUT_S):
             await parts.budget_manager.close(parts.clock())
         parts.log.emit(
             events.DAEMON_STOPPED,
             role="router",
             instance_id=parts.instance_id,
-            cut_off=cut_off,
+            cut_off=aborted,
         )
         self._stopped.set()
 
-    async def _serve_front(
+    async def _serve_frontend(
         self, ip: str, port: int, *, task_status: TaskStatus[ServedAddress]
     ) -> None:
         await serve_asgi(
-            self._front,
+            self._frontend,
             ip,
             port,
-            # A planned stop has waited for the answers in progress already.
+            # The graceful shutdown has already waited for the answers in progress.
             graceful_s=0,
             header_limit=header_limit(self._parts.settings.http.max_header_bytes),
             task_status=task_status,
@@ -190,18 +190,18 @@
             parts.header,
             parts.on_header,
             lambda: self._draining,
-            parts.news.hear,
+            parts.broadcaster.receive,
             parts.clock,
         )
 
-    def _build_front(self, background: TaskGroup) -> HttpFront:
+    def _build_frontend(self, background: TaskGroup) -> HttpFrontend:
         parts = self._parts
-        return HttpFront(
+        return HttpFrontend(
             RequestRunner(parts.runner, Background(background, parts.log)),
             lambda: parts.configuration.snapshot,
             lambda: self.ready,
-            # Cut off from most targets, the fault is most likely here: callers
-            # fare better at another router.
+            # If most targets are unreachable, the fault is most likely at this router,
+            # and callers are better served by another one.
             lambda: not parts.watch.seems_isolated,
             parts.settings.http,
             parts.clock,
--- a/src/endivegw/daemons/router_news.py
+++ b/src/endivegw/daemons/router_news.py
@@ -1,11 +1,11 @@
-"""Pass news on between routers, over the calls between processes."""
+"""Broadcast quarantine evidence between routers by gossip, over peer calls."""
 
 from __future__ import annotations
 
 import random
 from typing import Callable
 
-from endivegw.daemons.peer_book import PeerBook
+from endivegw.daemons.peer_directory import PeerDirectory
 from endivegw.exceptions import PeerError
 from endivegw.gossip.messages import BroadcastMessage, decode, encode
 from endivegw.gossip.rumours import GossipQueue
@@ -13,61 +13,61 @@
 from endivegw.quarantine import Evidence, RequestRecord, TargetTerminated
 from endivegw.types import InstanceId
 
-__all__ = ["RouterNews"]
+__all__ = ["EvidenceBroadcaster"]
 
-#: Routers exchange heartbeats every few seconds; one that missed three is not told.
-_HEARD_WITHIN_S = 16.0
+#: Routers exchange heartbeats every few seconds; one that missed three is skipped.
+_RESPONSIVE_WITHIN_S = 16.0
 
-#: A peer that does not answer must not keep the news from the next one.
+#: Short, so that an unresponsive peer does not delay the message to the next one.
 _TIMEOUT_S = 0.3
 
 
-class RouterNews:
-    """Tell other routers what ends targets, and take in what they tell.
+class EvidenceBroadcaster:
+    """Exchange evidence on requests that terminate targets with other routers.
 
-    :param on_evidence: takes what a peer passes on.
+    :param on_evidence: called with evidence received from a peer.
     """
 
     def __init__(
         self,
-        own: InstanceId,
-        book: PeerBook,
+        local_instance: InstanceId,
+        peer_directory: PeerDirectory,
         header: Callable[[], pb.Header],
         on_evidence: Callable[[Evidence], None],
         rng: random.Random,
     ) -> None:
-        self._own = own
-        self._book = book
+        self._local_instance = local_instance
+        self._peer_directory = peer_directory
         self._header = header
         self._on_evidence = on_evidence
-        self._rumours: GossipQueue[InstanceId] = GossipQueue(
+        self._gossip: GossipQueue[InstanceId] = GossipQueue(
             self._send, self._peers, rng
         )
 
     async def run(self) -> None:
-        """Pass news on until cancelled."""
-        await self._rumours.run()
+        """Send gossip messages until cancelled."""
+        await self._gossip.run()
 
     def broadcast(self, evidence: Evidence) -> None:
-        """Tell all routers, with the help of those that hear it."""
-        self._rumours.broadcast(encode(BroadcastMessage(self._own, evidence)))
+        """Send evidence to all routers; those that receive it forward it."""
+        self._gossip.broadcast(encode(BroadcastMessage(self._local_instance, evidence)))
 
-    def hear(self, data: bytes) -> None:
-        """Take in what a peer passes on; what cannot be read is dropped."""
+    def receive(self, data: bytes) -> None:
+        """Process a message from a peer; one that cannot be decoded is dropped."""
         match decode(data):
             case BroadcastMessage(_, TargetTerminated() | RequestRecord() as evidence):
                 self._on_evidence(evidence)
 
     def _peers(self) -> list[InstanceId]:
-        return list(self._book.routers(_HEARD_WITHIN_S))
+        return list(self._peer_directory.routers(_RESPONSIVE_WITHIN_S))
 
     async def _send(self, data: bytes, peer: InstanceId) -> None:
-        client = self._book.router(peer)
+        client = self._peer_directory.router(peer)
         if client is None:
             return
         try:
             request = pb.NewsRequest(header=self._header(), news=data)
             await client.news(request, _TIMEOUT_S)
         except PeerError:
-            # Others tell it too.
+            # Other routers send this message to the peer as well.
             return
--- a/src/endivegw/daemons/router_service.py
+++ b/src/endivegw/daemons/router_service.py
@@ -1,4 +1,4 @@
-"""What a router answers to the fleet's other processes."""
+"""The gRPC service that a router provides to the fleet's other processes."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 __all__ = ["RouterService"]
 
 
-class _HandsOutConfiguration(Protocol):
+class _ConfigurationSource(Protocol):
     def newer_than(self, revision: ConfigRevision) -> bytes:
-        """Return what a peer at a revision lacks; empty where it lacks nothing."""
+        """Return the changes that a peer at a revision lacks; empty if none."""
 
 
 class RouterService(RouterBase):  # type: ignore[misc]
-    """Serve heartbeats, moves of tokens and the configuration.
+    """Serve heartbeats, token transfers, broadcast messages and the configuration.
 
-    :param leaving: returns whether this router takes no new work.
-    :param on_news: takes what another router passes on.
+    :param header: returns the header of this process for each message.
+    :param on_header: called with the header of each request.
+    :param leaving: returns whether this router refuses new requests.
+    :param on_broadcast: called with each broadcast message from another router.
     """
 
     def __init__(
         self,
         budget_manager: BudgetManager,
-        configuration: _HandsOutConfiguration,
+        configuration: _ConfigurationSource,
         header: Callable[[], pb.Header],
         on_header: Callable[[pb.Header], None],
         leaving: Callable[[], bool],
-        on_news: Callable[[bytes], None],
+        on_broadcast: Callable[[bytes], None],
         clock: Callable[[], float],
     ) -> None:
         self._budget_manager = budget_manager
@@ -39,43 +41,43 @@
         self._header = header
         self._on_header = on_header
         self._leaving = leaving
-        self._on_news = on_news
+        self._on_broadcast = on_broadcast
         self._clock = clock
 
     async def Heartbeat(self, stream: Any) -> None:
-        """Tell that this router lives, and which configuration it has."""
+        """Reply with this router's state and configuration revision."""
         async for request in stream:
             self._on_header(request.header)
             reply = pb.HeartbeatReply(header=self._header(), leaving=self._leaving())
             await stream.send_message(reply)
 
     async def Transfer(self, stream: Any) -> None:
-        """Lend tokens; they are debited here before the answer leaves."""
+        """Lend tokens; they are debited here before the reply is sent."""
         request = await stream.recv_message()
         self._on_header(request.header)
-        ask = TokenTransferRequest(
+        transfer = TokenTransferRequest(
             TransferId(request.transfer_id),
             BudgetKey(ClientAccountName(request.client_account), request.budget),
             request.wanted_tokens,
         )
-        offer = self._budget_manager.lend(ask, self._clock())
+        response = self._budget_manager.lend(transfer, self._clock())
         reply = pb.TransferReply(
             header=self._header(),
-            transfer_id=offer.transfer_id,
-            grant_id=offer.grant_id,
-            tokens=offer.tokens,
+            transfer_id=response.transfer_id,
+            grant_id=response.grant_id,
+            tokens=response.tokens,
         )
         await stream.send_message(reply)
 
     async def News(self, stream: Any) -> None:
-        """Take in what another router passes on."""
+        """Process a broadcast message from another router."""
         request = await stream.recv_message()
         self._on_header(request.header)
-        self._on_news(request.news)
+        self._on_broadcast(request.news)
         await stream.send_message(pb.NewsReply(header=self._header()))
 
     async def Configuration(self, stream: Any) -> None:
-        """Hand out the configuration to a process that has an older one."""
+        """Send the configuration to a process that has an older revision."""
         request = await stream.recv_message()
         self._on_header(request.header)
         revision = ConfigRevision(request.header.config_revision)
--- a/src/endivegw/daemons/seal_calls.py
+++ b/src/endivegw/daemons/seal_calls.py
@@ -1,4 +1,4 @@
-"""Reach every sidecar of the fleet to seal grants."""
+"""Call any sidecar of the fleet to seal grants."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from endivegw.budgets import SealedGrant
 from endivegw.budgets.recovery import SealAnswer
-from endivegw.daemons.peer_book import TARGET_ROLE, ConnectSidecar
+from endivegw.daemons.peer_directory import TARGET_ROLE, ConnectSidecar
 from endivegw.daemons.vm_listings import ObservedVmList
 from endivegw.exceptions import PeerError
 from endivegw.peers import NotDelivered, SidecarClient
@@ -17,28 +17,28 @@
 from endivegw.services import ListedVm
 from endivegw.types import GrantId, InstanceId, TargetName
 
-__all__ = ["SealCalls", "vm_of_instance"]
+__all__ = ["SealClient", "vm_of_instance"]
 
 _TIMEOUT_S = 1.0
-_ASKED_AT_ONCE = 32
+_MAX_CONCURRENT_CALLS = 32
 
-#: How long a machine must be missing from the platform's list before its
-#: sidecar counts as gone for good. The list lags and may skip a machine; what a
-#: sidecar that lives after all had consumed would be written off in full.
-_GONE_S = 120.0
+#: How long a vm must be missing from the platform's list before its sidecar counts as
+#: terminated. The list lags and may skip a vm; if the sidecar is still alive, the
+#: grants that it used would be written off in full.
+_TERMINATED_AFTER_S = 120.0
 
 
 def vm_of_instance(instance_id: InstanceId) -> str:
-    """Return the machine of a process: instance ids are ``VM-RANDOM``."""
+    """Return the vm of a process; instance ids have the form ``VM-RANDOM``."""
     return instance_id.rpartition("-")[0]
 
 
-class SealCalls:
-    """Implement recovery's way to the sidecars.
+class SealClient:
+    """Call sidecars on behalf of recovery.
 
-    A router watches only some targets, while a grant may have been used at any.
-    So the sidecars are found by the list of machines, and asked which target
-    they stand beside.
+    A router watches only some targets, while a grant may have been used at any of
+    them. The sidecars are therefore found through the platform's vm list, and each is
+    queried for its target.
     """
 
     def __init__(
@@ -57,20 +57,20 @@
         self._addresses: dict[TargetName, str] = {}
         self._missing_since_s: dict[str, float] = {}
         self._listed: frozenset[str] = frozenset()
-        vms.on_reading(self._follow_list)
+        vms.on_vms_listed(self._track_missing_vms)
 
-    async def learn_targets(self) -> None:
-        """Ask every listed sidecar which target it stands beside."""
-        limiter = anyio.CapacityLimiter(_ASKED_AT_ONCE)
+    async def discover_targets(self) -> None:
+        """Query every listed sidecar for the target that it serves."""
+        limiter = anyio.CapacityLimiter(_MAX_CONCURRENT_CALLS)
 
-        async def ask(address: str) -> None:
+        async def discover(address: str) -> None:
             async with limiter:
-                await self._learn(address)
+                await self._discover_target(address)
 
         async with anyio.create_task_group() as tasks:
             for vm in self._vms.current:
                 if vm.role == TARGET_ROLE:
-                    tasks.start_soon(ask, vm.address)
+                    tasks.start_soon(discover, vm.address)
 
     async def seal(
         self, target: TargetName, grant_ids: tuple[GrantId, ...], *, timeout_s: float
@@ -78,7 +78,7 @@
         """Seal grants at a target's sidecar and return what they consumed."""
         address = self._addresses.get(target)
         if address is None:
-            return Refused(Reason.UNREACHABLE, f"target {target} was not found")
+            return Refused(Reason.UNREACHABLE, f"no sidecar found for target {target}")
         request = pb.SealRequest(header=self._header(), grant_ids=list(grant_ids))
         client = self._connect(address, self._sidecar_port)
         try:
@@ -89,19 +89,24 @@
             return Unknown(Reason.ANSWER_LOST, error.message)
         finally:
             client.close()
-        return Done(_answer(reply))
+        return Done(_parse_reply(reply))
 
     def terminated_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
-        """Return since when a sidecar's machine is off the list for good."""
+        """Return since when a sidecar's vm has been missing, None if not terminated.
+
+        The vm counts as terminated once it has been missing from the platform's list
+        for long enough.
+        """
         since_s = self._missing_since_s.get(vm_of_instance(sidecar))
         if since_s is None:
-            # Never listed here: counted from the first time it was asked about.
+            # The vm was never on this router's list: the time is measured from the
+            # first query.
             if vm_of_instance(sidecar) not in self._listed and self._listed:
                 self._missing_since_s[vm_of_instance(sidecar)] = self._clock()
             return None
-        return since_s if self._clock() - since_s > _GONE_S else None
+        return since_s if self._clock() - since_s > _TERMINATED_AFTER_S else None
 
-    def _follow_list(self, vms: tuple[ListedVm, ...], now_s: float) -> None:
+    def _track_missing_vms(self, vms: tuple[ListedVm, ...], now_s: float) -> None:
         listed = frozenset(vm.vm for vm in vms)
         for vm in self._listed - listed:
             self._missing_since_s.setdefault(vm, now_s)
@@ -109,7 +114,7 @@
             self._missing_since_s.pop(vm, None)
         self._listed = listed
 
-    async def _learn(self, address: str) -> None:
+    async def _discover_target(self, address: str) -> None:
         client: SidecarClient = self._connect(address, self._sidecar_port)
         try:
             request = pb.HeartbeatRequest(header=self._header())
@@ -121,11 +126,14 @@
         self._addresses[TargetName(reply.load.target)] = address
 
 
-def _answer(reply: pb.SealReply) -> SealAnswer:
+def _parse_reply(reply: pb.SealReply) -> SealAnswer:
     grants = tuple(
         SealedGrant(
-            GrantId(one.grant_id), one.consumed_tokens, one.running_tokens, one.running
+            GrantId(grant.grant_id),
+            grant.consumed_tokens,
+            grant.running_tokens,
+            grant.running,
         )
-        for one in reply.grants
+        for grant in reply.grants
     )
     return SealAnswer(InstanceId(reply.header.instance_id), grants)
--- a/src/endivegw/daemons/sidecar.py
+++ b/src/endivegw/daemons/sidecar.py
@@ -10,7 +10,7 @@
 
 from endivegw.daemons.engine_starts import EngineStarts
 from endivegw.daemons.headers import PROTOCOL_VERSION
-from endivegw.daemons.peer_book import TARGET_ROLE
+from endivegw.daemons.peer_directory import TARGET_ROLE
 from endivegw.daemons.sidecar_body import BodyChannel
 from endivegw.daemons.sidecar_cancel import Cancels
 from endivegw.daemons.sidecar_frames import (
--- a/src/endivegw/daemons/sidecar_process.py
+++ b/src/endivegw/daemons/sidecar_process.py
@@ -12,7 +12,7 @@
 from endivegw.configuration import Snapshot
 from endivegw.configuration.agent import ConfigurationAgent
 from endivegw.daemons.claim_desk import SlotDesk
-from endivegw.daemons.peer_book import PeerBook
+from endivegw.daemons.peer_directory import PeerDirectory
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.peers import PeerSecurity
 from endivegw.settings import SidecarSettings
@@ -54,7 +54,7 @@
     target: _Closable
     security: PeerSecurity
     orders: OrderManager | None
-    book: PeerBook
+    peer_directory: PeerDirectory
     log: EventLog
 
 
@@ -101,7 +101,7 @@
                 tasks.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
-                parts.book.close()
+                parts.peer_directory.close()
                 await parts.target.aclose()
 
     async def _keep_grants(self) -> None:
--- a/src/endivegw/daemons/target_reader.py
+++ b/src/endivegw/daemons/target_reader.py
@@ -106,7 +106,7 @@
         """Hand the targets to the dispatcher."""
         views = [self._view(target) for target in self.view.usable()]
         self._context.queue.dispatcher.set_targets(views, self._clock())
-        self._context.queue.kick()
+        self._context.queue.wake()
 
     def _take(self, row: StoredRow) -> None:
         if row.revision < self._revisions.get(row.key, 0):
--- a/src/endivegw/daemons/target_watch.py
+++ b/src/endivegw/daemons/target_watch.py
@@ -7,7 +7,7 @@
 
 from attrs import frozen
 
-from endivegw.daemons.peer_book import TARGET_ROLE
+from endivegw.daemons.peer_directory import TARGET_ROLE
 from endivegw.daemons.placement_queue import PlacementQueue
 from endivegw.daemons.sidecar_heartbeats import SidecarHeartbeats
 from endivegw.daemons.sidecar_links import SidecarLink
@@ -166,7 +166,7 @@
         if heartbeat.load is not None:
             figures = _figures(heartbeat)
             self._queue.dispatcher.report(heartbeat.target, figures, now_s)
-            self._queue.kick()
+            self._queue.wake()
 
     def _take_change(self, change: Change) -> None:
         if change.after is PeerState.REMOVED:
@@ -180,7 +180,7 @@
         if views != self._published:
             self._published = views
             self._queue.dispatcher.set_targets(views, now_s)
-            self._queue.kick()
+            self._queue.wake()
 
     def _target_views(self, now_s: float) -> list[TargetView]:
         """Return all targets that were heard; those not for new work drain.
--- a/src/endivegw/daemons/vm_listings.py
+++ b/src/endivegw/daemons/vm_listings.py
@@ -1,4 +1,4 @@
-"""Read the platform's list of machines once for all who need it."""
+"""Share each reading of the platform's vm list among all components."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class ObservedVmList:
-    """Pass the list through, and tell listeners of each reading.
+    """Wrap a vm list port, and notify listeners of each reading.
 
     :ivar current: the last reading; empty before the first.
+    :ivar read_at_s: time of the last reading, minus infinity before the first.
     """
 
     def __init__(self, vms: VmListPort, clock: Callable[[], float]) -> None:
@@ -27,12 +28,12 @@
         self.current: tuple[ListedVm, ...] = ()
         self.read_at_s = float("-inf")
 
-    def on_reading(self, listener: Listener) -> None:
-        """Call a listener with each reading and its time."""
+    def on_vms_listed(self, listener: Listener) -> None:
+        """Register a listener that is called with each reading and its time."""
         self._listeners.append(listener)
 
     async def list_vms(self, *, timeout_s: float) -> Result[tuple[ListedVm, ...]]:
-        """Return the machines that the platform knows of."""
+        """Return the vms that the platform lists."""
         result = await self._vms.list_vms(timeout_s=timeout_s)
         if isinstance(result, Done):
             self.current = result.value
@@ -43,7 +44,7 @@
 
 
 def others_by_zone(
-    vms: tuple[ListedVm, ...], own_vm: str
+    vms: tuple[ListedVm, ...], local_vm: str
 ) -> Mapping[AvailabilityZone, int]:
-    """Return how many other processes of the fleet there are, by zone."""
-    return Counter(vm.availability_zone for vm in vms if vm.vm != own_vm)
+    """Return the number of other processes of the fleet by availability zone."""
+    return Counter(vm.availability_zone for vm in vms if vm.vm != local_vm)
--- a/src/endivegw/relay/request_run.py
+++ b/src/endivegw/relay/request_run.py
@@ -241,7 +241,7 @@
         context.queue.dispatcher.ended(
             self._admitted.request_id, placement.target, end, context.clock()
         )
-        context.queue.kick()
+        context.queue.wake()
         if done and result.outcome is not AttemptOutcome.ANSWERED:
             context.log.emit(
                 events.ATTEMPT_FAILED,
--- a/src/endivegw_standins/request_world.py
+++ b/src/endivegw_standins/request_world.py
@@ -178,7 +178,7 @@
     def reset(self) -> None:
         self.received.clear()
 
-    def heard(self, header: pb.Header) -> None:
+    def on_header(self, header: pb.Header) -> None:
         pass
 
     def target_ended(self, end: str) -> None:
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""What goes wrong after a request leaves the other requests alone."""
+"""Errors in background tasks do not affect other tasks."""
 
 import unittest
 
@@ -10,10 +10,10 @@
 
 
 class BackgroundTests(unittest.TestCase):
-    def test_failed_task_leaves_the_others_running(self):
+    def test_failed_task_does_not_cancel_other_tasks(self):
         """
-        A check stops the settling of one request whose caller went away. The
-        daemon and every other caller's request go on.
+        An internal check fails while one request is settled after its caller
+        disconnected. The daemon and all other requests must keep running.
         """
         ended = []
 
--- a/tests/test_http_front.py
+++ b/tests/test_http_front.py
@@ -1,4 +1,4 @@
-"""What callers see at the HTTP interface, driven without sockets."""
+"""Tests of the HTTP interface for callers, without sockets."""
 
 import hashlib
 import json
@@ -7,8 +7,8 @@
 import anyio
 
 from endivegw.configuration import AccountParameters, Snapshot
-from endivegw.daemons.http_answers import CutAnswer
-from endivegw.daemons.http_front import HttpFront
+from endivegw.daemons.http_answers import TruncatedAnswer
+from endivegw.daemons.http_front import HttpFrontend
 from endivegw.daemons.routed import Answered
 from endivegw.exceptions import InvariantError
 from endivegw.results import Reason, Refused, Unknown
@@ -38,11 +38,11 @@
 
 
 class FakeRunner:
-    """Answer with fixed pieces and an end, and keep the requests."""
+    """Return fixed answer data and a fixed end, and record the requests."""
 
-    def __init__(self, end, pieces=CHUNKS, wait=False):
+    def __init__(self, end, answer_data=CHUNKS, wait=False):
         self.end = end
-        self.pieces = pieces
+        self.answer_data = answer_data
         self.wait = wait
         self.requests = []
         self.cancelled = False
@@ -58,8 +58,8 @@
             self.cancelled = self.wait
         if not isinstance(self.end, Refused):
             await sink.head(200, (("content-type", "text/plain"),))
-            for piece in self.pieces:
-                await sink.data(piece)
+            for chunk in self.answer_data:
+                await sink.data(chunk)
         return self.end
 
 
@@ -91,12 +91,12 @@
     method="POST",
     ready=True,
     healthy=True,
-    gone=False,
+    disconnects=False,
     chunks=None,
     **headers,
 ):
-    """Return the reply to one request."""
-    front = HttpFront(
+    """Send one request and return the reply."""
+    front = HttpFrontend(
         runner,
         lambda: SNAPSHOT,
         lambda: ready,
@@ -119,7 +119,7 @@
         for chunk in (chunks or [body])
     ]
     messages[-1]["more_body"] = False
-    if gone:
+    if disconnects:
         messages.append({"type": "http.disconnect"})
 
     async def receive():
@@ -142,7 +142,7 @@
 
 class CompletionTests(unittest.TestCase):
     def test_answer_as_one_object(self):
-        """A caller that does not stream gets all pieces joined, with usage."""
+        """A caller that does not stream receives all chunks joined, with usage."""
         reply = call(FakeRunner(ANSWERED), "/v1/chat/completions", chat())
         document = json.loads(reply.body)
         self.assertEqual(reply.status, 200)
@@ -152,7 +152,7 @@
         self.assertEqual(reply.headers["endivegw-outcome"], "answered")
 
     def test_stream_ends_with_the_done_event(self):
-        """A whole stream has each chunk as one event and ends in [DONE]."""
+        """A complete stream has one event per chunk and ends with [DONE]."""
         body = chat(stream=True, stream_options={"include_usage": True})
         reply = call(FakeRunner(ANSWERED), "/v1/chat/completions", body)
         events = reply.body.decode().split("\n\n")
@@ -161,9 +161,9 @@
         usage = json.loads(events[2].removeprefix("data: "))
         self.assertEqual(usage["usage"]["completion_tokens"], 2)
 
-    def test_broken_stream_never_looks_whole(self):
-        """A target dies in the middle of a stream, after its first words.
-        The caller sees an error event that says so, and no [DONE]."""
+    def test_broken_stream_does_not_look_complete(self):
+        """A target dies during a stream, after its first output. The caller must
+        receive an error event and no [DONE]."""
         end = Unknown(Reason.ANSWER_LOST, "the target is gone")
         reply = call(FakeRunner(end), "/v1/chat/completions", chat(stream=True))
         self.assertIn(b"event: error", reply.body)
@@ -171,18 +171,19 @@
         self.assertNotIn(b"[DONE]", reply.body)
         self.assertIs(reply.ended, True)
 
-    def test_uncertain_end_is_told_as_unknown(self):
-        """A target dies after the hand-over, before its first word.
-        The caller hears that the request may have run."""
+    def test_lost_answer_is_reported_as_unknown(self):
+        """A target dies after it was sent the request, before its first output. The
+        caller must be told that the request may have run."""
         end = Unknown(Reason.ANSWER_LOST)
         reply = call(FakeRunner(end), "/v1/chat/completions", chat())
         self.assertEqual(reply.status, 502)
         self.assertEqual(reply.headers["endivegw-outcome"], "unknown")
         self.assertEqual(reply.headers["x-should-retry"], "false")
 
-    def test_uncertain_end_under_a_key_invites_a_retry(self):
-        """The same under a key: sending it again joins or replays, so that the
-        caller is told to, and when."""
+    def test_lost_answer_with_key_recommends_a_retry(self):
+        """A target dies before its first output, and the request has a key. A retry
+        joins the attempt or replays its answer, so the reply must recommend one and
+        state the delay."""
         end = Unknown(Reason.ANSWER_LOST)
         runner = FakeRunner(end)
         reply = call(runner, "/v1/chat/completions", chat(), idempotency_key="k")
@@ -190,17 +191,17 @@
         self.assertEqual(reply.headers["x-should-retry"], "true")
         self.assertEqual(reply.headers["retry-after"], "1")
 
-    def test_broken_invariant_is_told_as_unknown(self):
-        """A check inside the program stops a request half-way. The caller hears
-        in the usual shape that it may have run, not a bare server error."""
+    def test_broken_invariant_is_reported_as_unknown(self):
+        """An internal check fails while a request runs. The caller must receive the
+        usual error object, with the outcome unknown, and not a generic server error."""
         runner = FakeRunner(InvariantError("billed twice"))
         reply = call(runner, "/v1/chat/completions", chat())
         self.assertEqual((reply.status, reply.code), (502, "target_failed"))
         self.assertEqual(reply.headers["endivegw-outcome"], "unknown")
         self.assertNotIn(b"billed", reply.body)
 
-    def test_refusals_say_not_run_and_when_to_retry(self):
-        """Exhausted budgets are final; overload says when to come back."""
+    def test_refusals_report_not_run_and_retry_delay(self):
+        """An exhausted budget is final; an overload has a retry delay."""
         spent = Refused(Reason.BUDGET_EXHAUSTED, "the budget is spent")
         reply = call(FakeRunner(spent), "/v1/chat/completions", chat())
         self.assertEqual((reply.status, reply.code), (429, "insufficient_quota"))
@@ -212,7 +213,7 @@
         self.assertEqual(reply.headers["x-should-retry"], "true")
 
     def test_bad_input_is_refused_before_anything_runs(self):
-        """Each malformed request gets a clear error and reaches no target."""
+        """Each malformed request gets the matching error and reaches no target."""
         runner = FakeRunner(ANSWERED)
         cases = {
             b"{": "bad_request",
@@ -234,7 +235,7 @@
         self.assertEqual(runner.requests, [])
 
     def test_bad_headers_are_refused(self):
-        """A wrong key, deadline, budget or flag is named in the error."""
+        """A wrong key, deadline, budget or flag gets the matching error."""
         runner = FakeRunner(ANSWERED)
         path = "/v1/chat/completions"
         for headers, code in (
@@ -252,15 +253,15 @@
                 self.assertEqual(call(runner, path, chat(), **headers).code, code)
         self.assertEqual(runner.requests, [])
 
-    def test_caller_that_goes_away_cancels_its_request(self):
-        """The request of a caller that hangs up is cancelled and ends."""
+    def test_disconnect_cancels_the_request(self):
+        """The request of a caller that disconnects is cancelled and ends."""
         runner = FakeRunner(ANSWERED, wait=True)
-        call(runner, "/v1/chat/completions", chat(), gone=True)
+        call(runner, "/v1/chat/completions", chat(), disconnects=True)
         self.assertIs(runner.cancelled, True)
 
-    def test_all_that_the_engine_reads_counts_towards_the_bound(self):
-        """Names, tool calls and tools are prompt tokens, too: a bound without
-        them would let an account consume more than was reserved."""
+    def test_prompt_bound_covers_all_text_that_the_engine_reads(self):
+        """Names, tool calls and tools are prompt tokens as well. A bound without them
+        would let an account consume more tokens than were reserved."""
         runner = FakeRunner(ANSWERED)
         calls = [{"id": "c", "function": {"name": "gate", "arguments": "x" * 50}}]
         messages = [
@@ -275,7 +276,7 @@
         self.assertEqual(runner.requests[0].call.prefix_text, "hi ")
 
     def test_models_are_those_of_the_account(self):
-        """The list of models names what this client account may use."""
+        """The model list contains the models that the client account may use."""
         reply = call(FakeRunner(ANSWERED), "/v1/models", method="GET")
         names = [model["id"] for model in json.loads(reply.body)["data"]]
         self.assertEqual(names, ["badge-1", "badge-1+quito"])
@@ -285,8 +286,9 @@
 
 class ServiceTests(unittest.TestCase):
     def test_answer_passes_through(self):
-        """A plain service's status, fields and body reach the caller."""
-        runner = FakeRunner(ANSWERED, pieces=(b"ok",))
+        """A plain service's status and body are forwarded to the caller, and the
+        caller's authorization is not forwarded to the service."""
+        runner = FakeRunner(ANSWERED, answer_data=(b"ok",))
         reply = call(runner, "/services/lobby-app/status/7", method="GET")
         self.assertEqual((reply.status, reply.body), (200, b"ok"))
         self.assertEqual(runner.requests[0].call.path, "/status/7")
@@ -295,7 +297,7 @@
         self.assertNotIn("authorization", names)
 
     def test_call_outside_the_repeatable_paths_needs_a_key(self):
-        """A call that may not be repeated is refused without a key, as not run."""
+        """A call that may not be repeated is refused if it has no key."""
         runner = FakeRunner(ANSWERED)
         reply = call(runner, "/services/lobby-app/notices", b"x")
         self.assertEqual(reply.code, "idempotency_key_required")
@@ -303,11 +305,11 @@
         self.assertEqual(reply.status, 200)
         self.assertIs(runner.requests[0].repeatable, False)
 
-    def test_only_what_lies_below_a_prefix_is_repeatable(self):
-        """A prefix ends at a slash: a longer name is another call, and a path
-        that climbs out of the prefix is refused. Either would let a notice
-        that may not be repeated run twice."""
-        runner = FakeRunner(ANSWERED, pieces=(b"ok",))
+    def test_only_paths_below_a_prefix_are_repeatable(self):
+        """A prefix matches whole path segments: a longer segment is another call, and
+        a path that leaves the prefix by '..' is refused. Otherwise a call that may not
+        be repeated could run twice."""
+        runner = FakeRunner(ANSWERED, answer_data=(b"ok",))
         base = "/services/lobby-app/"
         for path, code in (
             ("statusboard", "idempotency_key_required"),
@@ -321,30 +323,30 @@
         self.assertEqual(call(runner, base + "status", b"x").status, 200)
         self.assertIs(runner.requests[0].repeatable, True)
 
-    def test_cut_answer_closes_the_connection(self):
-        """A service dies in the middle of its answer.
-        The connection is cut, so that nobody takes the piece for the whole."""
-        runner = FakeRunner(Unknown(Reason.ANSWER_LOST), pieces=(b"half",))
+    def test_truncated_answer_closes_the_connection(self):
+        """A service dies during its answer. The connection must be closed, so that
+        the caller does not treat the truncated answer as complete."""
+        runner = FakeRunner(Unknown(Reason.ANSWER_LOST), answer_data=(b"half",))
         with self.assertRaises(BaseExceptionGroup) as caught:
             call(runner, "/services/lobby-app/status", method="GET")
-        self.assertIsNotNone(caught.exception.subgroup(CutAnswer))
+        self.assertIsNotNone(caught.exception.subgroup(TruncatedAnswer))
 
-    def test_long_body_flows_through_and_a_keyed_one_is_refused(self):
-        """A body over the held size is passed on in pieces, once; with a key
-        it is refused, because a retry could not be told from another request."""
-        piece = b"x" * 200_000
-        runner = FakeRunner(ANSWERED, pieces=(b"ok",))
+    def test_long_body_is_streamed_and_refused_with_a_key(self):
+        """A body over the buffer limit is streamed once. With a key it is refused,
+        because a retry could not be distinguished from another request."""
+        chunk = b"x" * 200_000
+        runner = FakeRunner(ANSWERED, answer_data=(b"ok",))
         path = "/services/lobby-app/status"
-        reply = call(runner, path, chunks=[piece, piece])
+        reply = call(runner, path, chunks=[chunk, chunk])
         self.assertEqual(reply.status, 200)
         self.assertIsNotNone(runner.requests[0].call.rest)
-        reply = call(runner, path, chunks=[piece, piece], idempotency_key="k")
+        reply = call(runner, path, chunks=[chunk, chunk], idempotency_key="k")
         self.assertEqual(reply.code, "body_too_large")
 
 
 class HealthTests(unittest.TestCase):
     def test_readiness_fails_while_draining(self):
-        """A draining router is live, not ready, and refuses work as not run."""
+        """A draining router is live but not ready, and refuses requests as not run."""
         runner = FakeRunner(ANSWERED)
         self.assertEqual(call(runner, "/healthz", ready=False).status, 200)
         self.assertEqual(call(runner, "/readyz", ready=False).status, 503)
@@ -352,28 +354,28 @@
         self.assertEqual(reply.headers["endivegw-outcome"], "not-run")
         self.assertEqual(reply.headers["retry-after"], "1")
 
-    def test_router_that_seems_cut_off_leaves_the_balancer(self):
-        """Most targets of a router fell silent at once. Its health page fails,
-        so that callers go to another one; who comes all the same is served."""
+    def test_isolated_router_fails_its_readiness_check(self):
+        """Most targets of a router become unresponsive at once. Its readiness check
+        must fail, so that callers are sent to another router; requests that it still
+        receives are served."""
         runner = FakeRunner(ANSWERED)
         self.assertEqual(call(runner, "/readyz", healthy=False).status, 503)
         reply = call(runner, "/v1/chat/completions", chat(), healthy=False)
         self.assertEqual(reply.status, 200)
 
 
-class RetryTests(unittest.TestCase):
-    """What a caller's next try under its key is told before the key is looked up.
+class RetryRefusalTests(unittest.TestCase):
+    """Refusals of a retry before its idempotency key is looked up.
 
-    A router dies while a badge is being printed, and the caller tries again under
-    its key. The router that it comes to has just started and knows no
-    configuration yet, or is about to stop, or no longer knows the caller's API key.
-    It refuses without asking whether the key has run. A caller that was told "not
-    run" there would send the request under another key, and a second badge would be
-    printed.
+    A router dies while it runs a request, and the caller retries under its key at
+    another router. That router has no configuration yet, is shutting down, or no
+    longer knows the caller's API key, and refuses without looking up the key. If it
+    reported "not run", the caller would send the request under another key, and the
+    request would run twice.
     """
 
-    def test_a_router_that_takes_no_work_cannot_say_that_a_key_did_not_run(self):
-        """The refusal is told, with when to come back, and as unknown."""
+    def test_refusal_by_an_unready_router_is_unknown_with_a_key(self):
+        """The refusal reports the outcome as unknown, with a retry delay."""
         reply = call(
             FakeRunner(ANSWERED),
             "/v1/chat/completions",
@@ -389,10 +391,10 @@
         self.assertEqual(reply.headers["retry-after"], "1")
 
     def test_refusals_before_the_key_is_looked_up_are_unknown(self):
-        """An API key, a model or a service may have been there at the first try."""
+        """The API key, model or service may have existed at the first try."""
         generation = "/v1/chat/completions"
         notices = "/services/lobby-app/notices"
-        piece = b"x" * 200_000
+        chunk = b"x" * 200_000
         for path, chunks, headers, code in (
             (generation, [chat()], {"authorization": "Bearer x"}, "invalid_api_key"),
             (generation, [chat()], {"endivegw_budget": "other"}, "budget_not_found"),
@@ -401,7 +403,7 @@
             (generation, [chat(pad="x" * 3000)], {}, "body_too_large"),
             ("/services/other/notices", [b"x"], {}, "service_not_found"),
             ("/services/lobby-app/../x", [b"x"], {}, "bad_request"),
-            (notices, [piece, piece], {}, "body_too_large"),
+            (notices, [chunk, chunk], {}, "body_too_large"),
         ):
             with self.subTest(code=code, path=path):
                 runner = FakeRunner(ANSWERED)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path over sockets: caller, router, sidecar, target, and the bill."""
+"""End-to-end tests over sockets: caller, router, sidecar, target and billing."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 @asynccontextmanager
 async def running_fleet(**options):
-    """Yield a fleet that runs, and cut it down at the end."""
+    """Yield a running fleet, and cancel it at the end."""
     fleet = DevFleet(**options)
     async with anyio.create_task_group() as tasks:
         await fleet.start(tasks)
@@ -27,7 +27,7 @@
 
 
 async def post(fleet, path, body, *, router=0, account=0, method="POST", **headers):
-    """Return the reply of one router to one request."""
+    """Send one request to a router and return the reply."""
     fields = {"authorization": f"Bearer {fleet.accounts[account].key}"}
     fields.update({k.replace("_", "-"): v for k, v in headers.items()})
     async with httpcore.AsyncConnectionPool() as pool:
@@ -46,18 +46,18 @@
     return dict(reply.headers)[name.encode()].decode()
 
 
-async def settled_tokens(fleet, account=0):
-    """Return what a budget's row says was consumed, after everything ended."""
+async def read_budget_row(fleet, account=0):
+    """Return an account's budget row."""
     budget = fleet.accounts[account].budget
     match await read_budgets(fleet.platform.table, (budget,), timeout_s=1.0):
         case Done(value=rows):
             return rows[0]
 
 
-class PathTests(unittest.TestCase):
-    def test_answer_is_whole_and_billed_to_the_token(self):
-        """A caller gets the engine's whole text, and after a planned stop the
-        budget's row holds exactly what the engines consumed."""
+class EndToEndTests(unittest.TestCase):
+    def test_answer_is_complete_and_billed_exactly(self):
+        """A caller receives the engine's complete text. After a graceful shutdown, the
+        budget's row holds exactly the tokens that the engines consumed."""
 
         async def scenario():
             async with running_fleet() as fleet:
@@ -67,21 +67,23 @@
                 text = document["choices"][0]["message"]["content"]
                 self.assertEqual(reply.status, 200)
                 self.assertTrue(text)
-                made = [e.consumed for e in fleet.engines.values() if e.consumed]
-                (consumed,) = made[0].values()
+                consumed_by_engine = [
+                    e.consumed for e in fleet.engines.values() if e.consumed
+                ]
+                (consumed,) = consumed_by_engine[0].values()
                 self.assertEqual(text, consumed.text)
                 total = sum(e.total_tokens() for e in fleet.engines.values())
                 self.assertEqual(document["usage"]["total_tokens"], total)
                 await fleet.drain()
-                row = await settled_tokens(fleet)
+                row = await read_budget_row(fleet)
                 self.assertEqual(row.settled_tokens, total)
                 self.assertEqual(row.granted_tokens, 0)
 
         anyio.run(scenario)
 
     def test_retry_at_another_router_replays_the_answer(self):
-        """A caller's retry under the same key, at another router, gets the
-        same answer; the engine runs once and the budget is charged once."""
+        """A retry under the same key at another router gets the same answer. The
+        engine runs once and the budget is charged once."""
 
         async def scenario():
             async with running_fleet() as fleet:
@@ -102,14 +104,14 @@
                 self.assertEqual(starts, 1)
                 total = sum(e.total_tokens() for e in fleet.engines.values())
                 await fleet.drain()
-                self.assertEqual((await settled_tokens(fleet)).settled_tokens, total)
+                self.assertEqual((await read_budget_row(fleet)).settled_tokens, total)
 
         anyio.run(scenario)
 
-    def test_a_spent_budget_ends_a_request_that_runs_once_at_its_first_try(self):
-        """The account is spent, and a generation that may not be repeated is refused
-        before its key is looked up. Told 502 and to try again, the caller would come
-        back in vain until its own deadline."""
+    def test_exhausted_budget_is_final_for_a_request_that_may_not_be_repeated(self):
+        """The budget is exhausted, and a generation that may not be repeated is refused
+        before its key is looked up. With a 502 that recommends a retry, the caller
+        would retry in vain until its own deadline."""
 
         async def scenario():
             async with running_fleet(budget_tokens=(10, 10)) as fleet:
@@ -127,7 +129,7 @@
         anyio.run(scenario)
 
     def test_plain_service_answers_through_the_fleet(self):
-        """A call of a plain service reaches it once and its answer comes back."""
+        """A call to a plain service reaches it once, and its answer is returned."""
 
         async def scenario():
             async with running_fleet() as fleet:
@@ -144,12 +146,11 @@
 
         anyio.run(scenario)
 
-    def test_a_retry_of_a_failed_service_call_is_told_what_is_known(self):
-        """A service hangs on a call that may not be repeated, and the call is given
-        up at its deadline before the service has answered. The caller tries again
-        under its key and joins the call that failed. It must be told that the
-        outcome is not known; a connection that closes without a word, at this and
-        each later try, would leave it with nothing."""
+    def test_retry_of_a_failed_service_call_reports_the_outcome_as_unknown(self):
+        """A service hangs on a call that may not be repeated, and the call times out at
+        its deadline. The caller retries under its key and joins the failed call. It
+        must be told that the outcome is unknown. If this and each later retry closed
+        the connection without an answer, the caller would learn nothing."""
 
         async def scenario():
             async with running_fleet() as fleet:
@@ -170,8 +171,9 @@
         anyio.run(scenario)
 
     def test_order_reaches_the_engine_through_table_and_sidecar(self):
-        """An operator orders a model onto an engine. The sidecar finds it in the
-        table, the engine loads it, and the order is written down as done."""
+        """An operator issues an order to load a model onto an engine. The sidecar reads
+        the order from the table, the engine loads the model, and the order is recorded
+        as done."""
 
         async def scenario():
             async with running_fleet() as fleet:
--- a/tests/test_request_body.py
+++ b/tests/test_request_body.py
@@ -1,4 +1,4 @@
-"""A long body that flows through a router is given to one target, once."""
+"""A streamed request body is sent to one target, once."""
 
 import random
 import unittest
@@ -20,15 +20,15 @@
 
 
 class FakeSidecar:
-    """Lose the first order in the middle of its body, and know nothing of it."""
+    """Fail the first start message during its body, and find no attempt afterwards."""
 
     def __init__(self, first):
         self.first = first
-        self.orders = []
+        self.messages = []
 
     async def execute(self, start, body=None):
-        self.orders.append((start.join_only, body is not None))
-        if len(self.orders) == 1:
+        self.messages.append((start.join_only, body is not None))
+        if len(self.messages) == 1:
             await anext(body)
             if self.first == "broken":
                 raise OutcomeUnknown("the connection broke")
@@ -55,12 +55,12 @@
         figures = PlacementFigures(0.0, 0, 0, 0.0, 0.0, 1.0, 1)
         return Placement(item, "t1", "i", "10.0.0.1", "only-target", figures)
 
-    def kick(self):
+    def wake(self):
         pass
 
 
 async def run_request(sidecar):
-    """Return how a repeatable call with a flowing body ends."""
+    """Run a repeatable call with a streamed body and return how it ended."""
 
     async def rest():
         for _ in range(5):
@@ -99,21 +99,21 @@
     return end
 
 
-class FlowingBodyTests(unittest.TestCase):
-    def test_second_order_never_starts_with_half_a_body(self):
+class StreamedBodyTests(unittest.TestCase):
+    def test_resent_message_does_not_start_with_a_partial_body(self):
         """
-        The connection to the sidecar breaks while a caller's upload flows
-        through, or the sidecar refuses the order meanwhile. Sent again, the
-        order would start the call with the bytes that are left; the caller
-        hears that it did not run and sends the upload again.
+        The connection to the sidecar breaks while a caller's body is streamed, or
+        the sidecar refuses the start message in the meantime. A resent message would
+        start the call with only the remaining bytes. The request must be refused as
+        not run instead, so that the caller sends the complete body again.
         """
         for first in ("broken", Reason.DRAINING.value, Reason.NOT_READY.value):
             with self.subTest(first=first):
                 sidecar = FakeSidecar(first)
                 end = anyio.run(run_request, sidecar)
                 self.assertIsInstance(end, Refused)
-                self.assertEqual(sidecar.orders[0], (False, True))
-                for join_only, has_body in sidecar.orders[1:]:
+                self.assertEqual(sidecar.messages[0], (False, True))
+                for join_only, has_body in sidecar.messages[1:]:
                     self.assertIs(join_only, True)
                     self.assertIs(has_body, False)
 
--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -66,7 +66,7 @@
         self.dispatcher = Dispatcher(
             Policy(choices=8), AvailabilityZone("z"), random.Random(1)
         )
-        queue = types.SimpleNamespace(dispatcher=self.dispatcher, kick=lambda: None)
+        queue = types.SimpleNamespace(dispatcher=self.dispatcher, wake=lambda: None)
         self.pool = TargetPool(lambda: 0.0)
         log = EventLog("router", vm="vm-0")
         terminations = TerminationDetector(
--- a/tests/test_target_watch.py
+++ b/tests/test_target_watch.py
@@ -73,7 +73,7 @@
 class FakeQueue:
     dispatcher: FakeDispatcher = field(factory=FakeDispatcher)
 
-    def kick(self):
+    def wake(self):
         pass
 
 
