--- a/src/endivegw/allowances/row_writer.py
+++ b/src/endivegw/allowances/row_writer.py
@@ -223,7 +223,7 @@
         used_tokens = self._ledger.succeed(holder, report)
         as_of_ms = max((terms.as_of_ms for terms in holder.terms.values()), default=0)
         self._log.emit(
-            events.TOKENS_SUCCEEDED,
+            events.TOKENS_INHERITED,
             predecessor=holder.instance_id,
             revision=revision,
             silent_s=round((store_ms - as_of_ms) / 1000.0, 3),
@@ -400,10 +400,10 @@
         self._answered_at_s = now_s
         if self._unavailable_since_s is not None:
             away_s = round(now_s - self._unavailable_since_s, 3)
-            self._log.emit(events.STORE_BACK, away_s=away_s)
+            self._log.emit(events.STORE_RECOVERED, away_s=away_s)
             self._unavailable_since_s = None
 
     def _record_failure(self, now_s: float, reason: str) -> None:
         if self._unavailable_since_s is None:
             self._unavailable_since_s = now_s
-            self._log.emit(events.STORE_AWAY, reason=reason)
+            self._log.emit(events.STORE_UNAVAILABLE, reason=reason)
--- a/src/endivegw/budgets/manager.py
+++ b/src/endivegw/budgets/manager.py
@@ -208,7 +208,7 @@
         again.
         """
         self._accounts.seal(grant_id)
-        self._log.emit(events.GRANT_SEALED_HERE, grant_id=grant_id)
+        self._log.emit(events.GRANT_SEALED_LOCALLY, grant_id=grant_id)
         self._wake.set()
 
     def lend(
--- a/src/endivegw/budgets/writer.py
+++ b/src/endivegw/budgets/writer.py
@@ -338,7 +338,7 @@
         for grant_id, row in zip(ids, result.value):
             if row is None or not row.open:
                 self._accounts.seal(grant_id)
-                self._log.emit(events.GRANT_SEALED_HERE, grant_id=grant_id)
+                self._log.emit(events.GRANT_SEALED_LOCALLY, grant_id=grant_id)
 
     async def _restart_as_new_holder(
         self, batch: Batch, plan: Plan, now_s: float
@@ -398,10 +398,10 @@
     def _mark_table_unavailable(self, operation_id: str) -> None:
         if self.unavailable_since_s is None:
             self.unavailable_since_s = self._clock()
-            self._log.emit(events.BUDGET_TABLE_AWAY, operation_id=operation_id)
+            self._log.emit(events.BUDGET_TABLE_UNAVAILABLE, operation_id=operation_id)
 
     def _mark_table_available(self) -> None:
         if self.unavailable_since_s is not None:
             away_s = round(self._clock() - self.unavailable_since_s, 3)
-            self._log.emit(events.BUDGET_TABLE_BACK, away_s=away_s)
+            self._log.emit(events.BUDGET_TABLE_RECOVERED, away_s=away_s)
             self.unavailable_since_s = None
--- a/src/endivegw/cli/__init__.py
+++ b/src/endivegw/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line of operators and daemons."""
+"""Command line interface for operators and daemons."""
 
 from endivegw.cli.main import main
 
--- a/src/endivegw/cli/account.py
+++ b/src/endivegw/cli/account.py
@@ -6,13 +6,13 @@
 
 from endivegw.cli.operating import (
     OperatorContext,
-    say_outcome,
-    value_of,
+    print_outcome,
+    unwrap_result,
     with_platform,
-    writes,
+    write_options,
 )
 from endivegw.cli.output import output_option, print_json, print_table
-from endivegw.cli.parameters import check_names, parse_pairs
+from endivegw.cli.parameters import check_parameter_names, parse_pairs
 from endivegw.commands.account import (
     CreatedKey,
     create_account,
@@ -35,17 +35,19 @@
 
 @account.command()
 @click.argument("name")
-@click.option("--template", default="", help="Template for what is not set here.")
+@click.option(
+    "--template", default="", help="Template for parameters that are not set."
+)
 @click.argument("pairs", nargs=-1, metavar="[KEY=VALUE]...")
-@writes
+@write_options
 @with_platform
 async def create(
     context: OperatorContext, name: str, template: str, pairs: tuple[str, ...]
 ) -> None:
-    """Create an account and print its key, once.
+    """Create an account and print its key.
 
-    The key is kept nowhere; only its digest is. Where the outcome is unknown,
-    the key cannot be shown again: run "account key rotate" then.
+    Only the digest of the key is stored, so that the key cannot be shown again. If
+    the outcome is unknown, run "account key rotate" to get another key.
     """
     result = await create_account(
         context.platform.table,
@@ -54,16 +56,18 @@
         template=template,
         parameters=parse_pairs(pairs),
     )
-    _say_key(value_of(result), context)
+    _print_key(unwrap_result(result), context)
 
 
 @account.command(name="set")
 @click.argument("name")
 @click.argument("pairs", nargs=-1, metavar="[KEY=VALUE]...")
-@click.option("--unset", multiple=True, metavar="KEY", help="Use the template's again.")
+@click.option("--unset", multiple=True, metavar="KEY", help="Use the template's value.")
 @click.option("--template", default=None, help='Another template; "" for none.')
-@click.option("--enable/--disable", "enabled", default=None, help="Serve it or not.")
-@writes
+@click.option(
+    "--enable/--disable", "enabled", default=None, help="Whether to serve the account."
+)
+@write_options
 @with_platform
 async def set_parameters(
     context: OperatorContext,
@@ -73,8 +77,8 @@
     template: str | None,
     enabled: bool | None,
 ) -> None:
-    """Set what an account has of its own over its template."""
-    check_names(unset)
+    """Set parameters of an account, which override those of its template."""
+    check_parameter_names(unset)
     result = await set_account(
         context.platform.table,
         context.operation,
@@ -84,7 +88,7 @@
         template=template,
         enabled=enabled,
     )
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 @account.command()
@@ -92,8 +96,8 @@
 @output_option
 @with_platform
 async def show(context: OperatorContext, name: str, output: str) -> None:
-    """Show an account's parameters and where each comes from."""
-    documents = value_of(
+    """Show an account's parameters and the source of each."""
+    documents = unwrap_result(
         await load_documents(
             context.platform.table, timeout_s=context.operation.timeout_s
         )
@@ -102,11 +106,14 @@
     if document is None:
         raise click.UsageError(f"no account named {name}")
     effective = resolve(documents).accounts[ClientAccountName(name)]
-    found = documents.template(document.template)
+    template_document = documents.template(document.template)
     rows = []
     for key in PARAMETER_NAMES:
         source = "default"
-        if found is not None and getattr(found.parameters, key) is not None:
+        if (
+            template_document is not None
+            and getattr(template_document.parameters, key) is not None
+        ):
             source = f"template {document.template}"
         if getattr(document.parameters, key) is not None:
             source = "account"
@@ -136,7 +143,7 @@
 @with_platform
 async def list_accounts(context: OperatorContext, output: str) -> None:
     """List accounts."""
-    documents = value_of(
+    documents = unwrap_result(
         await load_documents(
             context.platform.table, timeout_s=context.operation.timeout_s
         )
@@ -162,26 +169,26 @@
 
 @account.group()
 def key() -> None:
-    """Change an account's keys."""
+    """Manage the keys of an account."""
 
 
 @key.command()
 @click.argument("name")
-@click.option("--replace", is_flag=True, help="Make all older keys void at once.")
-@writes
+@click.option("--replace", is_flag=True, help="Revoke all older keys at once.")
+@write_options
 @with_platform
 async def rotate(context: OperatorContext, name: str, replace: bool) -> None:
-    """Add a new key and print it, once; the one before stays good."""
+    """Add a new key and print it; the previous key stays valid."""
     result = await rotate_key(
         context.platform.table, context.operation, name, keep_old=not replace
     )
-    _say_key(value_of(result), context)
+    _print_key(unwrap_result(result), context)
 
 
-def _say_key(created: CreatedKey, context: OperatorContext) -> None:
+def _print_key(created: CreatedKey, context: OperatorContext) -> None:
     if not created.outcome.dry_run:
-        # The key alone on standard output, for a script to take.
+        # Only the key goes to standard output, so that a script can capture it.
         click.echo(created.key)
     change = created.outcome.change
-    done = "would" if created.outcome.dry_run else f"revision {change.revision}:"
-    click.echo(f"{done} {change.summary}", err=True)
+    prefix = "would" if created.outcome.dry_run else f"revision {change.revision}:"
+    click.echo(f"{prefix} {change.summary}", err=True)
--- a/src/endivegw/cli/budget.py
+++ b/src/endivegw/cli/budget.py
@@ -12,13 +12,13 @@
 from endivegw.cli.operating import (
     OperatorContext,
     OutcomeUnknownError,
-    value_of,
+    unwrap_result,
     with_platform,
-    writes,
+    write_options,
 )
 from endivegw.cli.output import output_option, print_table
 from endivegw.commands.budget import top_up_budget
-from endivegw.queries.bills import bill_of
+from endivegw.queries.bills import load_bill
 from endivegw.queries.budgets import list_budgets
 from endivegw.results import Unknown
 from endivegw.types import BudgetKey, ClientAccountName
@@ -36,41 +36,41 @@
     "outcome",
 )
 
-_COLUMNS = ("account", "budget", "topped_up", "available", "granted", "settled")
+_BUDGET_COLUMNS = ("account", "budget", "topped_up", "available", "granted", "settled")
 
 
 @click.group()
 def budget() -> None:
-    """Top up prepaid budgets and show what is left of them."""
+    """Top up prepaid budgets and show their balances."""
 
 
 @budget.command()
 @click.argument("account")
 @click.argument("name")
 @click.argument("tokens", type=click.IntRange(min=1))
-@writes
+@write_options
 @with_platform
 async def topup(context: OperatorContext, account: str, name: str, tokens: int) -> None:
-    """Add TOKENS to the budget NAME of ACCOUNT, once.
+    """Add TOKENS to the budget NAME of ACCOUNT.
 
-    Where the outcome is unknown, run the command again with the --operation-id
-    that it prints: tokens are added once for an id, however often it is run.
+    If the outcome is unknown, run the command again with the --operation-id that it
+    prints: however often it is run with the same id, tokens are added once.
     """
     key = BudgetKey(ClientAccountName(account), name)
     result = await top_up_budget(context.platform.table, context.operation, key, tokens)
     if isinstance(result, Unknown):
         raise OutcomeUnknownError(
-            "it is not known whether the tokens were added; run it again with "
+            "it is not known whether the tokens were added; run the command again with "
             f"--operation-id {context.operation.operation_id}"
         )
-    outcome = value_of(result)
+    outcome = unwrap_result(result)
     if outcome.dry_run:
         click.echo(f"would add {tokens} tokens to {key}; nothing was written")
         return
-    what = "added" if outcome.added else "had been added before:"
+    verb = "added" if outcome.added else "had been added before:"
     total = outcome.topped_up_tokens
-    so_far = f", {total} in all" if total is not None else ""
-    click.echo(f"{what} {tokens} tokens to {key}{so_far}")
+    in_total = f", {total} in all" if total is not None else ""
+    click.echo(f"{verb} {tokens} tokens to {key}{in_total}")
 
 
 @budget.command()
@@ -79,7 +79,7 @@
 @click.option(
     "--reconcile/--no-reconcile",
     default=True,
-    help="Whether to read the whole bill and compare it.",
+    help="Whether to compare the settled tokens with the complete bill.",
     show_default=True,
 )
 @output_option
@@ -87,34 +87,36 @@
 async def show(
     context: OperatorContext, account: str, name: str, reconcile: bool, output: str
 ) -> None:
-    """Show one budget, and whether what was settled and billed agree.
+    """Show one budget, and whether settled and billed tokens agree.
 
-    "granted" is in the hands of routers, "settled" is spent and billed.
+    Granted tokens are held by routers; settled tokens are spent and billed.
     """
     key = BudgetKey(ClientAccountName(account), name)
-    (row,) = value_of(
+    (row,) = unwrap_result(
         await read_budgets(
             context.platform.table, (key,), timeout_s=context.operation.timeout_s
         )
     )
     if row is None:
         raise click.UsageError(f"budget {key} was never topped up")
-    print_table(_COLUMNS, [_cells(row)], output)
+    print_table(_BUDGET_COLUMNS, [_budget_cells(row)], output)
     if not reconcile:
         return
-    found = value_of(
-        await bill_of(
+    loaded_bill = unwrap_result(
+        await load_bill(
             context.platform.table, key, timeout_s=context.operation.timeout_s
         )
     )
-    click.echo(found.sums.sentence(), err=output == "json")
+    click.echo(loaded_bill.sums.sentence(), err=output == "json")
 
 
 @budget.command()
 @click.argument("account")
 @click.argument("name")
-@click.option("--since", type=click.DateTime(), help="First moment, in UTC.")
-@click.option("--until", type=click.DateTime(), help="Moment behind the last, in UTC.")
+@click.option("--since", type=click.DateTime(), help="Start of the period, in UTC.")
+@click.option(
+    "--until", type=click.DateTime(), help="End of the period (exclusive), in UTC."
+)
 @output_option
 @with_platform
 async def bill(
@@ -127,11 +129,11 @@
 ) -> None:
     """List what was charged to one budget, one line for each request.
 
-    The last line says whether the whole bill and what was settled agree.
+    The last line shows whether the complete bill and the settled tokens agree.
     """
     key = BudgetKey(ClientAccountName(account), name)
-    found = value_of(
-        await bill_of(
+    loaded_bill = unwrap_result(
+        await load_bill(
             context.platform.table,
             key,
             from_s=_unix_time(since),
@@ -139,8 +141,10 @@
             timeout_s=context.operation.timeout_s,
         )
     )
-    print_table(_BILL_COLUMNS, [_bill_cells(one) for one in found.records], output)
-    click.echo(found.sums.sentence(), err=output == "json")
+    print_table(
+        _BILL_COLUMNS, [_bill_cells(record) for record in loaded_bill.records], output
+    )
+    click.echo(loaded_bill.sums.sentence(), err=output == "json")
 
 
 @budget.command(name="list")
@@ -149,18 +153,18 @@
 @with_platform
 async def list_all(context: OperatorContext, account: str, output: str) -> None:
     """List budgets that were topped up."""
-    rows = value_of(
+    rows = unwrap_result(
         await list_budgets(
             context.platform.table,
             client_account=account,
             timeout_s=context.operation.timeout_s,
         )
     )
-    print_table(_COLUMNS, [_cells(row) for row in rows], output)
+    print_table(_BUDGET_COLUMNS, [_budget_cells(row) for row in rows], output)
 
 
-def _unix_time(moment: datetime | None) -> float | None:
-    return moment.replace(tzinfo=timezone.utc).timestamp() if moment else None
+def _unix_time(time: datetime | None) -> float | None:
+    return time.replace(tzinfo=timezone.utc).timestamp() if time else None
 
 
 def _bill_cells(record: BillRecord) -> tuple[object, ...]:
@@ -177,7 +181,7 @@
     )
 
 
-def _cells(row: BudgetRow) -> tuple[object, ...]:
+def _budget_cells(row: BudgetRow) -> tuple[object, ...]:
     return (
         row.budget.client_account,
         row.budget.budget,
--- a/src/endivegw/cli/completion.py
+++ b/src/endivegw/cli/completion.py
@@ -1,4 +1,4 @@
-"""``endivegw completion``: the script that lets a shell complete commands."""
+"""``endivegw completion``: shell completion scripts."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 @click.argument("shell", type=click.Choice(["bash", "zsh", "fish"]))
 @click.pass_context
 def completion(context: click.Context, shell: str) -> None:
-    """Print the completion script of a SHELL, for its startup file."""
+    """Print the completion script for SHELL, to be sourced in its startup file."""
     root = context.find_root()
-    found = get_completion_class(shell)
-    if found is None:
+    completion_class = get_completion_class(shell)
+    if completion_class is None:
         raise click.UsageError(f"no completion for {shell}")
     name = "endivegw"
-    script = found(root.command, {}, name, "_ENDIVEGW_COMPLETE")
+    script = completion_class(root.command, {}, name, "_ENDIVEGW_COMPLETE")
     click.echo(script.source())
--- a/src/endivegw/cli/config.py
+++ b/src/endivegw/cli/config.py
@@ -1,4 +1,4 @@
-"""``endivegw config``: the configuration as a whole."""
+"""``endivegw config``: state, history, export and import of the configuration."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     CommandInputError,
     CommandRefusedError,
     OperatorContext,
-    say_outcome,
-    value_of,
+    print_outcome,
+    unwrap_result,
     with_platform,
-    writes,
+    write_options,
 )
 from endivegw.cli.output import output_option, print_json, print_table
 from endivegw.commands.transfer import import_documents
@@ -32,14 +32,14 @@
 
 __all__ = ["config", "print_lagging"]
 
-#: Reports are written within five seconds of an adoption; looking more often
-#: than each half of a second would not show more.
-_LOOK_S = 0.5
+#: Daemons report within five seconds of an adoption, so that polling more often
+#: than every half second would not show more.
+_POLL_INTERVAL_S = 0.5
 
 
 @click.group()
 def config() -> None:
-    """See which revision is in force where; export and import all of it."""
+    """Show which daemons have which revision; export and import the configuration."""
 
 
 @config.command()
@@ -47,16 +47,17 @@
 @with_platform
 async def status(context: OperatorContext, output: str) -> None:
     """Show the accepted revision and the daemons that lack it."""
-    found = value_of(await _look(context))
-    lagging = found.lagging(found.revision)
+    fleet = unwrap_result(await _poll_revisions(context))
+    lagging = fleet.lagging(fleet.revision)
     if output == "json":
-        print_json(_as_json(found, found.revision))
+        print_json(_as_json(fleet, fleet.revision))
         return
     click.echo(
-        f"revision {found.revision}: held by "
-        f"{len(found.daemons) - len(lagging)} of {len(found.daemons)} daemons heard"
+        f"revision {fleet.revision}: held by "
+        f"{len(fleet.daemons) - len(lagging)} of {len(fleet.daemons)} "
+        "responsive daemons"
     )
-    print_lagging(found, found.revision)
+    print_lagging(fleet, fleet.revision)
 
 
 @config.command()
@@ -72,22 +73,22 @@
 async def wait(context: OperatorContext, revision: int | None, for_s: float) -> None:
     """Wait until every live daemon has a revision; name those that lack it.
 
-    Ends with 0 when all have it, else with 1 after the wait. A daemon counts
-    as live when a router heard it of late, or the platform lists its VM.
+    Exits with 0 once all have it, and with 1 if the wait ends first. A daemon is
+    live if a recent report of a router names it, or if the platform lists its VM.
     """
     end_s = anyio.current_time() + for_s
     while True:
-        found = value_of(await _look(context))
-        wanted = found.revision if revision is None else revision
+        fleet = unwrap_result(await _poll_revisions(context))
+        wanted = fleet.revision if revision is None else revision
         revision = wanted
-        if not found.lagging(wanted) and not found.unheard and found.daemons:
-            click.echo(f"revision {wanted} is held by all {len(found.daemons)} daemons")
+        if not fleet.lagging(wanted) and not fleet.unreported_vms and fleet.daemons:
+            click.echo(f"revision {wanted} is held by all {len(fleet.daemons)} daemons")
             return
-        if anyio.current_time() + _LOOK_S > end_s:
+        if anyio.current_time() + _POLL_INTERVAL_S > end_s:
             break
-        await anyio.sleep(_LOOK_S)
-    print_lagging(found, wanted)
-    missing = len(found.lagging(wanted)) + len(found.unheard)
+        await anyio.sleep(_POLL_INTERVAL_S)
+    print_lagging(fleet, wanted)
+    missing = len(fleet.lagging(wanted)) + len(fleet.unreported_vms)
     raise CommandRefusedError(
         f"after {for_s:g} s, {missing} daemons are not known to have revision {wanted}"
     )
@@ -100,9 +101,9 @@
 async def history(context: OperatorContext, limit: int, output: str) -> None:
     """List the latest changes, newest first."""
     table, timeout_s = context.platform.table, context.operation.timeout_s
-    newest = value_of(await load_revision(table, timeout_s=timeout_s))
+    newest = unwrap_result(await load_revision(table, timeout_s=timeout_s))
     after = ConfigRevision(max(0, newest - limit))
-    changes = value_of(await load_changes(table, after, timeout_s=timeout_s))
+    changes = unwrap_result(await load_changes(table, after, timeout_s=timeout_s))
     rows = [
         (
             change.revision,
@@ -120,7 +121,7 @@
 @with_platform
 async def export_all(context: OperatorContext, file: BinaryIO) -> None:
     """Write all templates, accounts and targets to FILE (keys as digests)."""
-    documents = value_of(
+    documents = unwrap_result(
         await load_documents(
             context.platform.table, timeout_s=context.operation.timeout_s
         )
@@ -133,17 +134,17 @@
 
 @config.command(name="import")
 @click.argument("file", type=click.File("rb"))
-@click.option("--prune", is_flag=True, help="Remove what the file lacks.")
-@writes
+@click.option("--prune", is_flag=True, help="Remove documents that the file lacks.")
+@write_options
 @with_platform
 async def import_all(context: OperatorContext, file: BinaryIO, prune: bool) -> None:
-    """Make the configuration equal to an exported FILE, as new revisions."""
+    """Make the configuration equal to an exported FILE, in new revisions."""
     match parse_message(file.read()):
         case Done(DocumentsMessage(documents)):
             pass
         case _:
-            raise CommandInputError(f"{file.name} is no exported configuration")
-    outcomes = value_of(
+            raise CommandInputError(f"{file.name} is not an exported configuration")
+    outcomes = unwrap_result(
         await import_documents(
             context.platform.table, context.operation, documents, prune=prune
         )
@@ -151,21 +152,23 @@
     if not outcomes:
         click.echo("nothing to change")
     for outcome in outcomes:
-        say_outcome(outcome, context)
+        print_outcome(outcome, context)
 
 
-def print_lagging(found: FleetRevisions, revision: int) -> None:
-    """Name the daemons that lack a revision, and those that nobody hears."""
-    for entry in found.lagging(revision):
+def print_lagging(fleet: FleetRevisions, revision: int) -> None:
+    """Print the daemons that lack a revision and the VMs without a report."""
+    for entry in fleet.lagging(revision):
         has = f"has revision {entry.revision}" if entry.revision else "is not ready"
         click.echo(f"{entry.daemon} {has}")
-    for vm in found.unheard:
+    for vm in fleet.unreported_vms:
         click.echo(f"{vm} is listed as live and was not heard")
-    if not found.vms_known:
-        click.echo("the VM list did not answer; silent VMs are not shown", err=True)
+    if not fleet.vms_known:
+        click.echo(
+            "the VM list did not answer; unresponsive VMs are not shown", err=True
+        )
 
 
-async def _look(context: OperatorContext) -> Result[FleetRevisions]:
+async def _poll_revisions(context: OperatorContext) -> Result[FleetRevisions]:
     return await fleet_revisions(
         context.platform.table,
         context.platform.vms,
@@ -174,11 +177,11 @@
     )
 
 
-def _as_json(found: FleetRevisions, revision: int) -> dict[str, object]:
+def _as_json(fleet: FleetRevisions, revision: int) -> dict[str, object]:
     return {
         "revision": revision,
-        "daemons": {entry.daemon: entry.revision for entry in found.daemons},
-        "lagging": [entry.daemon for entry in found.lagging(revision)],
-        "unheard": list(found.unheard),
-        "vm_list_answered": found.vms_known,
+        "daemons": {entry.daemon: entry.revision for entry in fleet.daemons},
+        "lagging": [entry.daemon for entry in fleet.lagging(revision)],
+        "unheard": list(fleet.unreported_vms),
+        "vm_list_answered": fleet.vms_known,
     }
--- a/src/endivegw/cli/daemons.py
+++ b/src/endivegw/cli/daemons.py
@@ -1,4 +1,4 @@
-"""The commands that run a daemon until it is told to stop."""
+"""Commands that run a daemon until a signal stops it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import anyio
 import click
 
-from endivegw.cli.errors import reported
+from endivegw.cli.errors import handle_errors
 from endivegw.composition import build_router, build_sidecar
 from endivegw.settings import load_router_settings, load_sidecar_settings
 from endivegw.telemetry import Level, json_line_handler
@@ -26,30 +26,30 @@
 _check_option = click.option(
     "--check-settings",
     is_flag=True,
-    help="Check the settings, say so, and exit.",
+    help="Validate the settings and exit.",
 )
 
 
 class Daemon(Protocol):
-    """A long-running part that can be told to stop as planned."""
+    """Interface of a long-running process that can be drained."""
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
         """Run until drained."""
 
     async def drain(self) -> None:
-        """Let what runs end, then make :meth:`run` return."""
+        """Refuse new work, let running work end, then make :meth:`run` return."""
 
 
 @click.command()
 @_settings_option
 @_check_option
-@reported
+@handle_errors
 def router(settings_path: pathlib.Path, check_settings: bool) -> None:
     """Run a router on an entry VM.
 
-    A router takes callers' requests and routes them to targets. SIGTERM and
-    SIGINT stop it as planned: it takes no new work, lets answers in progress
-    end, returns the tokens in hand and exits.
+    A router accepts callers' requests and routes them to targets. The first SIGTERM
+    or SIGINT drains it: it accepts no new requests, completes answers in progress,
+    returns its unused tokens and exits.
     """
     settings = load_router_settings(settings_path)
     if check_settings:
@@ -62,13 +62,13 @@
 @click.command()
 @_settings_option
 @_check_option
-@reported
+@handle_errors
 def sidecar(settings_path: pathlib.Path, check_settings: bool) -> None:
     """Run a sidecar beside a target.
 
-    A sidecar is the last gate before work runs at its target. SIGTERM and
-    SIGINT stop it as planned: it refuses new work as not run and exits when
-    what runs has ended.
+    A sidecar decides whether work may run at its target. The first SIGTERM or
+    SIGINT drains it: it refuses new work as not run and exits once running work
+    has ended.
     """
     settings = load_sidecar_settings(settings_path)
     if check_settings:
@@ -79,7 +79,7 @@
 
 
 async def run_until_signalled(build: Callable[[], Daemon]) -> None:
-    """Run a daemon; the first signal drains it, a second ends it at once."""
+    """Run a daemon; the first signal drains it, the second terminates it at once."""
     daemon = build()
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(drain_on_signal, daemon.drain, tasks.cancel_scope)
--- a/src/endivegw/cli/dev.py
+++ b/src/endivegw/cli/dev.py
@@ -1,4 +1,4 @@
-"""The command that runs a whole fleet on loopback."""
+"""``endivegw dev``: a complete fleet on loopback."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import click
 
 from endivegw.cli.daemons import drain_on_signal
-from endivegw.cli.errors import reported
+from endivegw.cli.errors import handle_errors
 from endivegw.telemetry import Level, json_line_handler
 
 __all__ = ["dev"]
@@ -22,20 +22,20 @@
     "--http-port",
     default=_DEFAULT_HTTP_PORT,
     show_default=True,
-    help="Port of the first router; the second takes the next one. 0 for free ones.",
+    help="Port of the first router; the second uses the next port. 0 for free ports.",
 )
 @click.option(
     "--log-level",
     type=click.Choice([level.value for level in Level]),
     default=Level.WARNING.value,
     show_default=True,
-    help="Least level of the log lines on standard error.",
+    help="Minimum level of the log lines on standard error.",
 )
 @click.option(
     "--exercise-s",
     type=click.FloatRange(min=1.0, max=600.0),
     default=None,
-    help="Run a bounded load with faults for so many seconds, report, and exit.",
+    help="Run a load with injected faults for this many seconds, report, and exit.",
 )
 @click.option("--seed", default=1, show_default=True, help="Seed of the exercise.")
 @click.option(
@@ -43,14 +43,14 @@
     type=click.Choice(["text", "json"]),
     default="text",
     show_default=True,
-    help="How the exercise reports.",
+    help="Format of the exercise's report.",
 )
 @click.option(
     "--platform",
     is_flag=True,
-    help="Run routers that call targets themselves, as on the users' platform.",
+    help="Run direct routers, which call targets themselves.",
 )
-@reported
+@handle_errors
 def dev(
     http_port: int,
     log_level: str,
@@ -59,11 +59,11 @@
     report: str,
     platform: bool,
 ) -> None:
-    """Run a small fleet on loopback, with stand-ins for all that is outside.
+    """Run a small fleet on loopback, with stand-ins for external systems.
 
     Two routers, sidecars with fake engines in three availability zones, one
-    plain service, and a stand-in for the platform, in one process. Ctrl-C
-    drains it.
+    plain service, and a stand-in for the platform run in one process. Ctrl-C
+    drains the fleet.
     """
     with json_line_handler(Level(log_level)).applicationbound():
         if platform:
@@ -87,7 +87,7 @@
 
 
 async def _serve(http_port: int) -> None:
-    # Imported here: the daemons' commands must not need the stand-ins.
+    # Imported here because the daemons' commands must not depend on the stand-ins.
     from endivegw.dev.fleet import DevFleet
 
     ports = (http_port, http_port + 1) if http_port else (0, 0)
@@ -102,13 +102,13 @@
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(drain_on_signal, drain, tasks.cancel_scope)
         await fleet.start(tasks)
-        _greet(fleet.routers[0].url, fleet.accounts[0].key, fleet)
+        _print_example(fleet.routers[0].url, fleet.accounts[0].key, fleet)
         await stopped.wait()
         tasks.cancel_scope.cancel()
     click.echo("stopped")
 
 
-def _greet(url: str, key: str, fleet: object) -> None:
+def _print_example(url: str, key: str, fleet: object) -> None:
     from endivegw.dev.fleet import DevFleet
     from endivegw.dev.layout import MODEL
 
--- a/src/endivegw/cli/errors.py
+++ b/src/endivegw/cli/errors.py
@@ -1,4 +1,4 @@
-"""Turn the package's errors into one line and an exit code."""
+"""Conversion of the package's errors into a message and an exit code."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from endivegw.exceptions import EndivegwError
 
-__all__ = ["reported"]
+__all__ = ["handle_errors"]
 
 P = ParamSpec("P")
 R = TypeVar("R")
 
 
-def reported(command: Callable[P, R]) -> Callable[P, R]:
-    """Print an error's message and leave with its exit code."""
+def handle_errors(command: Callable[P, R]) -> Callable[P, R]:
+    """Make a command print the message of an error and exit with its code."""
 
     @functools.wraps(command)
     def wrapped(*args: P.args, **kwargs: P.kwargs) -> R:
--- a/src/endivegw/cli/logs.py
+++ b/src/endivegw/cli/logs.py
@@ -1,4 +1,4 @@
-"""``endivegw explain`` and ``endivegw logs``: read what routers wrote."""
+"""``endivegw explain`` and ``endivegw logs``: analyze the logs of routers."""
 
 from __future__ import annotations
 
@@ -9,13 +9,17 @@
 import click
 
 from endivegw.cli.output import output_option, print_json, print_table
-from endivegw.telemetry.losses import Aims, losses_of
-from endivegw.telemetry.story import read_lines, story_of, totals
+from endivegw.telemetry.losses import LatencyThresholds, count_losses
+from endivegw.telemetry.request_trace import (
+    count_outcomes,
+    read_log_lines,
+    trace_request,
+)
 
 __all__ = ["explain", "logs"]
 
-#: What ``explain`` exits with where no line bears the id.
-_NOT_FOUND = 1
+#: Exit code of ``explain`` if no line has the request id.
+_EXIT_NOT_FOUND = 1
 
 _Command = TypeVar("_Command", bound=Callable[..., Any])
 
@@ -32,7 +36,7 @@
     )
 
 
-def _texts(files: tuple[TextIO, ...]) -> Iterator[str]:
+def _read_files(files: tuple[TextIO, ...]) -> Iterator[str]:
     for file in files or (sys.stdin,):
         yield from file
 
@@ -42,26 +46,26 @@
 @_log_files
 @output_option
 def explain(request_id: str, files: tuple[TextIO, ...], output: str) -> None:
-    """Tell the story of one request.
+    """Trace one request.
 
     Reads the logs of any number of processes, from files or standard input, and
-    prints what each decided on the request in order of time.
+    prints what each of them decided about the request, in order of time.
     """
-    story = story_of(request_id, read_lines(_texts(files)))
-    if not story.steps:
+    trace = trace_request(request_id, read_log_lines(_read_files(files)))
+    if not trace.steps:
         click.echo(f"no line bears the id {request_id}", err=True)
-        sys.exit(_NOT_FOUND)
+        sys.exit(_EXIT_NOT_FOUND)
     if output == "json":
-        print_json(attrs.asdict(story))
+        print_json(attrs.asdict(trace))
         return
-    for step in story.steps:
+    for step in trace.steps:
         click.echo(f"{step.at} {step.vm} [{step.event}] {step.text}")
-    click.echo(f"cause: {story.cause}")
+    click.echo(f"cause: {trace.cause}")
 
 
 @click.group()
 def logs() -> None:
-    """Read what routers wrote."""
+    """Analyze the logs of routers."""
 
 
 @logs.command()
@@ -69,10 +73,10 @@
 @_window_option(10.0)
 @output_option
 def summary(files: tuple[TextIO, ...], window_s: float, output: str) -> None:
-    """Count how requests ended, by reason and window."""
-    found = totals(read_lines(_texts(files)), window_s)
-    rows = [("all", name, count) for name, count in sorted(found.outcomes.items())]
-    for window, counts in sorted(found.windows.items()):
+    """Count requests by outcome and time window."""
+    totals = count_outcomes(read_log_lines(_read_files(files)), window_s)
+    rows = [("all", name, count) for name, count in sorted(totals.outcomes.items())]
+    for window, counts in sorted(totals.windows.items()):
         rows += [(window, name, count) for name, count in sorted(counts.items())]
     print_table(("window", "outcome", "requests"), rows, output)
 
@@ -81,10 +85,12 @@
 @_log_files
 @_window_option(2.0)
 @click.option(
-    "--first-s", type=float, help="From when on a first part is late, in seconds."
+    "--first-s", type=float, help="Time after which a first part is late, in seconds."
 )
 @click.option(
-    "--pause-s", type=float, help="From when on a pause of a stream is, in seconds."
+    "--pause-s",
+    type=float,
+    help="Longest pause of a stream that is not late, in seconds.",
 )
 @output_option
 def losses(
@@ -94,17 +100,22 @@
     pause_s: float | None,
     output: str,
 ) -> None:
-    """Show what callers lost, by service and cause, and when.
+    """Show lost and late requests by service and cause, and by time window.
 
-    Refusals for tokens are told apart by where the router knew tokens to be. A
-    caller that came back counts as another request. Without aims no answer is late.
+    Refusals for lack of tokens are grouped by where the router knew of tokens. A
+    retry by the caller counts as another request. Without --first-s and --pause-s
+    no answer counts as late.
     """
-    found = losses_of(read_lines(_texts(files)), window_s, Aims(first_s, pause_s))
+    result = count_losses(
+        read_log_lines(_read_files(files)),
+        window_s,
+        LatencyThresholds(first_s, pause_s),
+    )
     if output == "json":
-        print_json(attrs.asdict(found))
+        print_json(attrs.asdict(result))
         return
-    causes = [attrs.astuple(loss) for loss in found.causes]
+    causes = [attrs.astuple(loss) for loss in result.causes]
     print_table(("service", "cause", "requests", "tokens"), causes, output)
     click.echo()
-    ends = [(begin, *attrs.astuple(window)) for begin, window in found.windows.items()]
+    ends = [(start, *attrs.astuple(window)) for start, window in result.windows.items()]
     print_table(("from", "served", "late", "refused", "failed"), ends, output)
--- a/src/endivegw/cli/main.py
+++ b/src/endivegw/cli/main.py
@@ -1,4 +1,4 @@
-"""The group that all commands hang below, one ``add_command`` a line."""
+"""The root command group, to which every command is added."""
 
 from __future__ import annotations
 
--- a/src/endivegw/cli/operating.py
+++ b/src/endivegw/cli/operating.py
@@ -1,4 +1,4 @@
-"""What all operators' commands share: options, the table, and how they fail."""
+"""Common parts of the operators' commands: options, platform access and errors."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 import click
 from attrs import frozen
 
-from endivegw.cli.errors import reported
+from endivegw.cli.errors import handle_errors
 from endivegw.commands.changes import Operation, Outcome
 from endivegw.composition import Platform, open_platform
 from endivegw.exceptions import EXIT_USAGE, EndivegwError
@@ -33,15 +33,15 @@
     "OperatorContext",
     "OutcomeUnknownError",
     "run_async",
-    "say_outcome",
-    "value_of",
+    "print_outcome",
+    "unwrap_result",
     "with_platform",
-    "writes",
+    "write_options",
 ]
 
 T = TypeVar("T")
 
-#: Exit codes beside those of :mod:`endivegw.exceptions`, for scripts.
+#: Exit codes for scripts, in addition to those of :mod:`endivegw.exceptions`.
 EXIT_CONFLICT = 3
 EXIT_UNKNOWN = 4
 
@@ -59,13 +59,13 @@
 
 
 class CommandInputError(EndivegwError):
-    """Report that the input names or says something that cannot be."""
+    """Report that the input is invalid or names something that does not exist."""
 
     exit_code = EXIT_USAGE
 
 
 class CommandConflictError(EndivegwError):
-    """Report that somebody else changed the same thing first."""
+    """Report that a concurrent change of the same documents came first."""
 
     exit_code = EXIT_CONFLICT
 
@@ -78,17 +78,18 @@
 
 @frozen
 class OperatorContext:
-    """Hold what a command works with.
+    """Context that is passed to each operator command.
 
-    :param operation: its id, who runs it, when, and whether it may write.
+    :param platform: clients of the platform's services.
+    :param operation: id, operator, time and options of this run.
     """
 
     platform: Platform
     operation: Operation
 
 
-def value_of(result: Result[T]) -> T:
-    """Return the value, or end the command with a message and an exit code."""
+def unwrap_result(result: Result[T]) -> T:
+    """Return the value of a result, or raise the error that matches its failure."""
     match result:
         case Done(value):
             return value
@@ -104,8 +105,8 @@
             raise OutcomeUnknownError(message)
 
 
-def say_outcome(outcome: Outcome, context: OperatorContext) -> None:
-    """Print what a change did."""
+def print_outcome(outcome: Outcome, context: OperatorContext) -> None:
+    """Print the summary of a change and its revision."""
     change = outcome.change
     if outcome.dry_run:
         click.echo(f"would {change.summary}; nothing was written")
@@ -114,7 +115,7 @@
 
 
 def run_async(command: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Make a click callback of a coroutine function."""
+    """Turn a coroutine function into a click callback."""
 
     @functools.wraps(command)
     def wrapped(*args: Any, **kwargs: Any) -> None:
@@ -124,7 +125,10 @@
 
 
 def with_platform(command: Callable[..., Awaitable[None]]) -> Callable[..., None]:
-    """Open the platform that ``--settings`` names and pass a context first."""
+    """Add the common options, and pass an :class:`OperatorContext` as first argument.
+
+    The platform that ``--settings`` describes is open while the command runs.
+    """
 
     async def run(
         settings_path: pathlib.Path,
@@ -154,37 +158,37 @@
             type=click.Path(path_type=pathlib.Path, dir_okay=False),
             envvar="ENDIVEGW_SETTINGS",
             required=True,
-            help="INI file whose [platform] names the services. "
+            help="INI file whose section [platform] describes the services. "
             "[env: ENDIVEGW_SETTINGS]",
         ),
         click.option(
             "--operator",
             default=getpass.getuser,
             envvar="ENDIVEGW_OPERATOR",
-            help="Name for the history. [default: the login name]",
+            help="Name recorded in the history. [default: the login name]",
         ),
         click.option(
             "--timeout-s",
             type=click.FloatRange(min=0.1, max=600.0),
             default=5.0,
             show_default=True,
-            help="Longest wait for one answer of the table.",
+            help="Time limit of each call to the table.",
         ),
     )
-    wrapped: Callable[..., None] = reported(run_async(run))
+    wrapped: Callable[..., None] = handle_errors(run_async(run))
     for option in reversed(options):
         wrapped = option(wrapped)
     return wrapped
 
 
-def writes(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the options of a command that changes something."""
+def write_options(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Add the options of a command that writes to the table."""
     dry_run = click.option(
-        "--dry-run", is_flag=True, help="Check everything and write nothing."
+        "--dry-run", is_flag=True, help="Validate the change without writing it."
     )
     operation_id = click.option(
         "--operation-id",
         default="",
-        help="Id of an earlier run whose outcome is unknown; it takes effect once.",
+        help="Id of an earlier run with unknown outcome; the change is applied once.",
     )
     return dry_run(operation_id(command))
--- a/src/endivegw/cli/order.py
+++ b/src/endivegw/cli/order.py
@@ -4,7 +4,12 @@
 
 import click
 
-from endivegw.cli.operating import OperatorContext, value_of, with_platform, writes
+from endivegw.cli.operating import (
+    OperatorContext,
+    unwrap_result,
+    with_platform,
+    write_options,
+)
 from endivegw.cli.output import output_option, print_table
 from endivegw.targets import OrderKind
 from endivegw.targets.order_desk import issue_order, list_orders
@@ -31,15 +36,15 @@
 @click.argument("kind", type=click.Choice(_KINDS))
 @click.argument("name")
 @click.option("--model-version", default="", help="Version of the model or adapter.")
-@writes
+@write_options
 @with_platform
 async def give(
     context: OperatorContext, target: str, kind: str, name: str, model_version: str
 ) -> None:
-    """Order TARGET's engine to do KIND with NAME, behind its other orders.
+    """Queue an order of KIND with NAME for the engine of TARGET.
 
-    NAME is a model, ``model+adapter`` or a role. The target's sidecar carries
-    orders out one at a time; ``order list`` shows how far they are.
+    NAME is a model, ``model+adapter`` or a role. The target's sidecar carries out
+    orders one at a time, in order; ``order list`` shows their state.
     """
     item = f"{name}@{model_version}" if model_version else name
     if context.operation.dry_run:
@@ -54,8 +59,8 @@
         operation=context.operation.operation_id,
         timeout_s=context.operation.timeout_s,
     )
-    given = value_of(result)
-    click.echo(f"ordered {target} to {kind} {item}: order {given.sequence}")
+    issued = unwrap_result(result)
+    click.echo(f"ordered {target} to {kind} {item}: order {issued.sequence}")
 
 
 @order.command(name="list")
@@ -63,8 +68,8 @@
 @output_option
 @with_platform
 async def list_all(context: OperatorContext, target: str, output: str) -> None:
-    """List the orders of TARGET, the oldest first."""
-    orders = value_of(
+    """List the orders of TARGET, oldest first."""
+    orders = unwrap_result(
         await list_orders(
             context.platform.table,
             TargetName(target),
--- a/src/endivegw/cli/output.py
+++ b/src/endivegw/cli/output.py
@@ -1,4 +1,4 @@
-"""Print lists as aligned text or as JSON."""
+"""Output of commands as aligned text or JSON."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         type=click.Choice(["text", "json"]),
         default="text",
         show_default=True,
-        help="Text for people or JSON for programs.",
+        help="Output format.",
     )(command)
 
 
@@ -29,18 +29,18 @@
 def print_table(
     columns: tuple[str, ...], rows: Sequence[tuple[object, ...]], output: str
 ) -> None:
-    """Print rows; JSON has one object for each, with the columns as names."""
+    """Print rows as an aligned table, or as JSON objects with the columns as keys."""
     if output == "json":
         print_json([dict(zip(columns, row)) for row in rows])
         return
-    texts = [columns, *(tuple(_text(cell) for cell in row) for row in rows)]
-    widths = [max(len(row[number]) for row in texts) for number in range(len(columns))]
+    texts = [columns, *(tuple(_format_cell(cell) for cell in row) for row in rows)]
+    widths = [max(len(row[index]) for row in texts) for index in range(len(columns))]
     for row in texts:
         line = "  ".join(cell.ljust(width) for cell, width in zip(row, widths))
         click.echo(line.rstrip())
 
 
-def _text(cell: object) -> str:
+def _format_cell(cell: object) -> str:
     if isinstance(cell, bool):
         return "yes" if cell else "no"
     if isinstance(cell, (list, tuple)):
--- a/src/endivegw/cli/parameters.py
+++ b/src/endivegw/cli/parameters.py
@@ -1,4 +1,4 @@
-"""Read parameters from files and ``KEY=VALUE`` arguments."""
+"""Parameters from template files and ``KEY=VALUE`` arguments."""
 
 from __future__ import annotations
 
@@ -18,45 +18,48 @@
 
 __all__ = [
     "TemplateFile",
-    "check_names",
+    "check_parameter_names",
     "parse_pairs",
     "read_template_file",
-    "seen_line",
+    "version_comment",
 ]
 
-_SEEN = re.compile(r"[;#]\s*revision (\d+), version (\d+)\s*$", re.MULTILINE)
+_VERSION_COMMENT = re.compile(r"[;#]\s*revision (\d+), version (\d+)\s*$", re.MULTILINE)
 
 
 @frozen
 class TemplateFile:
-    """Hold a template file.
+    """Content of a template file.
 
-    :param seen: revision and version it was shown at; None in a file that
-        was written from nothing.
+    :param base: revision and version of the template that the file was made from;
+        None for a file without a version comment.
     """
 
     parameters: Parameters
-    seen: tuple[int, int] | None
+    base: tuple[int, int] | None
 
 
-def seen_line(revision: int, version: int) -> str:
-    """Return the comment by which an edited file is known to be of this state."""
+def version_comment(revision: int, version: int) -> str:
+    """Return the comment that records which revision and version a file shows."""
     return f"; revision {revision}, version {version}"
 
 
 def read_template_file(file: TextIO) -> TemplateFile:
-    """Return a template file's content, or end the command with its mistakes."""
+    """Parse a template file.
+
+    :raises CommandInputError: if the file is invalid, with all of its errors.
+    """
     text = file.read()
     parsed = parse_template(text)
     if not isinstance(parsed, Parameters):
-        raise CommandInputError(_mistakes(parsed, file.name))
-    found = _SEEN.search(text)
-    seen = (int(found.group(1)), int(found.group(2))) if found else None
-    return TemplateFile(parsed, seen)
+        raise CommandInputError(_format_diagnostics(parsed, file.name))
+    match = _VERSION_COMMENT.search(text)
+    base = (int(match.group(1)), int(match.group(2))) if match else None
+    return TemplateFile(parsed, base)
 
 
 def parse_pairs(pairs: tuple[str, ...]) -> Parameters:
-    """Return the parameters of ``KEY=VALUE`` arguments."""
+    """Parse ``KEY=VALUE`` arguments."""
     values: dict[str, str] = {}
     for pair in pairs:
         key, equals, value = pair.partition("=")
@@ -67,18 +70,20 @@
         values[key] = value
     parsed = parse_assignments(values)
     if not isinstance(parsed, Parameters):
-        raise CommandInputError(_mistakes(parsed, ""))
+        raise CommandInputError(_format_diagnostics(parsed, ""))
     return parsed
 
 
-def check_names(names: tuple[str, ...]) -> None:
-    """Refuse names that are no parameters."""
+def check_parameter_names(names: tuple[str, ...]) -> None:
+    """Raise a usage error if one of the names is not a parameter."""
     for name in names:
         if name not in PARAMETER_NAMES:
             known = ", ".join(PARAMETER_NAMES)
-            raise click.UsageError(f"{name!r} is none of {known}")
+            raise click.UsageError(
+                f"{name!r} is not a parameter; expected one of {known}"
+            )
 
 
-def _mistakes(mistakes: tuple[IniDiagnostic, ...], place: str) -> str:
-    prefix = f"{place}: " if place else ""
-    return "\n".join(f"{prefix}{mistake}" for mistake in mistakes)
+def _format_diagnostics(diagnostics: tuple[IniDiagnostic, ...], file_name: str) -> str:
+    prefix = f"{file_name}: " if file_name else ""
+    return "\n".join(f"{prefix}{diagnostic}" for diagnostic in diagnostics)
--- a/src/endivegw/cli/target.py
+++ b/src/endivegw/cli/target.py
@@ -1,4 +1,4 @@
-"""``endivegw target``: what stands behind the sidecars."""
+"""``endivegw target``: the targets behind the sidecars."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from endivegw.cli.operating import (
     OperatorContext,
-    say_outcome,
-    value_of,
+    print_outcome,
+    unwrap_result,
     with_platform,
-    writes,
+    write_options,
 )
 from endivegw.cli.output import output_option, print_table
 from endivegw.commands.target import (
@@ -37,7 +37,7 @@
 @with_platform
 async def list_targets(context: OperatorContext, output: str) -> None:
     """List targets."""
-    snapshot = value_of(
+    snapshot = unwrap_result(
         await load_snapshot(
             context.platform.table, timeout_s=context.operation.timeout_s
         )
@@ -69,15 +69,22 @@
 @target.command(name="set")
 @click.argument("name")
 @click.option("--kind", type=click.Choice(_KINDS), default=TargetKind.ENGINE.value)
-@click.option("--availability-zone", default="", help="Where it stands.")
-@click.option("--serves", multiple=True, metavar="NAME", help="A model or service.")
-@click.option("--model-version", default="", help="Version of its models.")
+@click.option(
+    "--availability-zone", default="", help="Availability zone of the target."
+)
+@click.option(
+    "--serves",
+    multiple=True,
+    metavar="NAME",
+    help="A model or service; may be repeated.",
+)
+@click.option("--model-version", default="", help="Version of the target's models.")
 @click.option(
     "--checks-fence/--no-checks-fence",
     default=False,
-    help="Whether it refuses orders with an old fencing number itself.",
+    help="Whether the target itself refuses orders with an old fencing number.",
 )
-@writes
+@write_options
 @with_platform
 async def set_one(
     context: OperatorContext,
@@ -88,7 +95,7 @@
     model_version: str,
     checks_fence: bool,
 ) -> None:
-    """Describe a target; it keeps its state where it is there already."""
+    """Create or update a target; an existing target stays drained or stopped."""
     parameters = TargetParameters(
         TargetName(name),
         TargetKind(kind),
@@ -98,37 +105,37 @@
         checks_fence,
     )
     result = await set_target(context.platform.table, context.operation, parameters)
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 @target.command()
 @click.argument("name")
-@writes
+@write_options
 @with_platform
 async def drain(context: OperatorContext, name: str) -> None:
-    """Give a target no new work; what runs there ends by itself."""
+    """Stop sending new work to a target; running work completes."""
     result = await drain_target(context.platform.table, context.operation, name)
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 @target.command()
 @click.argument("name")
-@writes
+@write_options
 @with_platform
 async def resume(context: OperatorContext, name: str) -> None:
-    """Give a drained or stopped target work again."""
+    """Send work to a drained or stopped target again."""
     result = await resume_target(context.platform.table, context.operation, name)
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 @target.command()
 @click.argument("name")
-@writes
+@write_options
 @with_platform
 async def stop(context: OperatorContext, name: str) -> None:
-    """Drain a target, and let its sidecar end once its work is done."""
+    """Drain a target; its sidecar exits once running work has completed."""
     result = await stop_target(context.platform.table, context.operation, name)
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 def _state(entry: TargetParameters) -> str:
--- a/src/endivegw/cli/template.py
+++ b/src/endivegw/cli/template.py
@@ -1,4 +1,4 @@
-"""``endivegw template``: what many accounts share."""
+"""``endivegw template``: parameters that several accounts share."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from endivegw.cli.operating import (
     CommandInputError,
     OperatorContext,
-    say_outcome,
-    value_of,
+    print_outcome,
+    unwrap_result,
     with_platform,
-    writes,
+    write_options,
 )
 from endivegw.cli.output import output_option, print_json, print_table
 from endivegw.cli.parameters import (
-    check_names,
+    check_parameter_names,
     parse_pairs,
     read_template_file,
-    seen_line,
+    version_comment,
 )
 from endivegw.commands.changes import difference
 from endivegw.commands.template import (
-    SeenTemplate,
+    LoadedTemplate,
     create_template,
     delete_template,
     edit_template,
-    see_template,
+    load_template,
 )
 from endivegw.configuration.documents import TemplateDocument
 from endivegw.configuration.ini import format_parameters, value_texts
@@ -43,8 +43,8 @@
 def template() -> None:
     """Create, edit, show and delete templates of client accounts.
 
-    A template is an INI file with one section, [template]. Accounts take
-    from it each parameter that they do not set themselves.
+    A template is an INI file with one section, [template]. It supplies the
+    parameters that its accounts do not set themselves.
     """
 
 
@@ -52,7 +52,7 @@
 @click.argument("name")
 @click.option("--file", type=click.File(), help="INI file; - for standard input.")
 @click.argument("pairs", nargs=-1, metavar="[KEY=VALUE]...")
-@writes
+@write_options
 @with_platform
 async def create(
     context: OperatorContext, name: str, file: TextIO | None, pairs: tuple[str, ...]
@@ -64,20 +64,20 @@
     result = await create_template(
         context.platform.table, context.operation, name, parameters
     )
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
 @template.command()
 @click.argument("name")
 @click.option("--file", type=click.File(), help="INI file; - for standard input.")
 @click.argument("pairs", nargs=-1, metavar="[KEY=VALUE]...")
-@click.option("--unset", multiple=True, metavar="KEY", help="Take a parameter out.")
+@click.option("--unset", multiple=True, metavar="KEY", help="Remove a parameter.")
 @click.option(
     "--overwrite",
     is_flag=True,
-    help="Take a file that does not say which version it was made from.",
+    help="Ignore which version the file was made from.",
 )
-@writes
+@write_options
 @with_platform
 async def edit(
     context: OperatorContext,
@@ -89,38 +89,40 @@
 ) -> None:
     """Replace a template by a file, or set and unset single parameters.
 
-    A file made by "template show" names the version that it was made from;
-    the edit is refused where somebody else changed the template since.
+    A file made by "template show" records the version that it was made from; the
+    edit is refused if the template has changed since.
     """
-    check_names(unset)
-    changed = parse_pairs(pairs)
-    seen = value_of(await see_template(context.platform.table, context.operation, name))
-    parameters = seen.template.parameters
+    check_parameter_names(unset)
+    changes = parse_pairs(pairs)
+    base = unwrap_result(
+        await load_template(context.platform.table, context.operation, name)
+    )
+    parameters = base.template.parameters
     if file is not None:
         content = read_template_file(file)
         parameters = content.parameters
-        seen = _seen_by_file(seen, content.seen, overwrite)
+        base = _base_from_file(base, content.base, overwrite)
     parameters = evolve(
-        merge_parameters(parameters, changed), **{key: None for key in unset}
+        merge_parameters(parameters, changes), **{key: None for key in unset}
     )
     result = await edit_template(
-        context.platform.table, context.operation, seen, parameters
+        context.platform.table, context.operation, base, parameters
     )
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
 
 
-def _seen_by_file(
-    seen: SeenTemplate, by_file: tuple[int, int] | None, overwrite: bool
-) -> SeenTemplate:
+def _base_from_file(
+    base: LoadedTemplate, file_base: tuple[int, int] | None, overwrite: bool
+) -> LoadedTemplate:
     if overwrite:
-        return seen
-    if by_file is None:
+        return base
+    if file_base is None:
         raise CommandInputError(
             "the file does not say which version it was made from; start from "
-            '"template show", or give --overwrite'
+            '"template show" or use --overwrite'
         )
-    revision, version = by_file
-    return evolve(seen, revision=ConfigRevision(revision), version=version)
+    revision, version = file_base
+    return evolve(base, revision=ConfigRevision(revision), version=version)
 
 
 @template.command()
@@ -129,27 +131,29 @@
 @with_platform
 async def show(context: OperatorContext, name: str, output: str) -> None:
     """Print a template as a file for "template edit"."""
-    seen = value_of(await see_template(context.platform.table, context.operation, name))
+    loaded = unwrap_result(
+        await load_template(context.platform.table, context.operation, name)
+    )
     if output == "json":
         print_json(
             {
                 "name": name,
-                "revision": seen.revision,
-                "version": seen.version,
-                "parameters": value_texts(seen.template.parameters),
+                "revision": loaded.revision,
+                "version": loaded.version,
+                "parameters": value_texts(loaded.template.parameters),
             }
         )
         return
-    click.echo(seen_line(seen.revision, seen.version))
-    click.echo(format_parameters(seen.template.parameters), nl=False)
+    click.echo(version_comment(loaded.revision, loaded.version))
+    click.echo(format_parameters(loaded.template.parameters), nl=False)
 
 
 @template.command(name="list")
 @output_option
 @with_platform
 async def list_templates(context: OperatorContext, output: str) -> None:
-    """List templates and how many accounts use each."""
-    documents = value_of(
+    """List templates and the number of accounts that use each."""
+    documents = unwrap_result(
         await load_documents(
             context.platform.table, timeout_s=context.operation.timeout_s
         )
@@ -168,17 +172,19 @@
 @with_platform
 async def diff(context: OperatorContext, name: str, file: TextIO) -> None:
     """Show what a file would change in a template."""
-    seen = value_of(await see_template(context.platform.table, context.operation, name))
+    loaded = unwrap_result(
+        await load_template(context.platform.table, context.operation, name)
+    )
     content = read_template_file(file)
-    changed = difference(seen.template.parameters, content.parameters)
-    click.echo(changed.replace("; ", "\n") if changed else "no difference")
+    changes = difference(loaded.template.parameters, content.parameters)
+    click.echo(changes.replace("; ", "\n") if changes else "no difference")
 
 
 @template.command()
 @click.argument("name")
-@writes
+@write_options
 @with_platform
 async def delete(context: OperatorContext, name: str) -> None:
     """Delete a template that no account uses."""
     result = await delete_template(context.platform.table, context.operation, name)
-    say_outcome(value_of(result), context)
+    print_outcome(unwrap_result(result), context)
--- a/src/endivegw/commands/__init__.py
+++ b/src/endivegw/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' commands: what writes to the platform's table."""
+"""Operators' commands, which write to the platform's table."""
--- a/src/endivegw/commands/account.py
+++ b/src/endivegw/commands/account.py
@@ -1,4 +1,4 @@
-"""Create client accounts, set their parameters, rotate their keys."""
+"""Create client accounts, set their parameters and rotate their keys."""
 
 from __future__ import annotations
 
@@ -7,7 +7,13 @@
 
 from attrs import evolve, frozen
 
-from endivegw.commands.changes import Operation, Outcome, commit, difference, is_name
+from endivegw.commands.changes import (
+    Operation,
+    Outcome,
+    commit,
+    difference,
+    is_valid_name,
+)
 from endivegw.configuration.commits import Edit
 from endivegw.configuration.documents import (
     AccountDocument,
@@ -24,14 +30,14 @@
     "CreatedKey",
     "MAX_KEYS",
     "create_account",
-    "hash_of_key",
+    "hash_key",
     "new_key",
     "rotate_key",
     "set_account",
 ]
 
-#: An account has its present key and, while its clients move over, the one
-#: before. More would let keys pile up that nobody knows the holder of.
+#: An account has its current key and, while its clients switch over, the previous
+#: one. A higher limit would let keys accumulate whose holders nobody knows.
 MAX_KEYS = 2
 
 _KEY_PREFIX = "egw_"
@@ -39,22 +45,22 @@
 
 @frozen
 class CreatedKey:
-    """Hold a new key, which is shown once and kept nowhere, and the change."""
+    """A new key, which is shown once and not stored, and the change that added it."""
 
     key: str
     outcome: Outcome
 
 
 def new_key() -> str:
-    """Return a bearer key of 256 random bits."""
+    """Generate a bearer key of 256 random bits."""
     return _KEY_PREFIX + secrets.token_urlsafe(32)
 
 
-def hash_of_key(key: str) -> str:
-    """Return the digest under which a key is kept.
+def hash_key(key: str) -> str:
+    """Return the digest that is stored for a key.
 
-    A plain hash is enough: the key is random and long, so that no dictionary
-    finds it, and routers hash it for each request.
+    An unsalted fast hash is sufficient: the key is long and random, so that a
+    dictionary attack cannot find it, and routers hash a key for each request.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
@@ -68,19 +74,19 @@
     parameters: Parameters = Parameters(),
 ) -> Result[CreatedKey]:
     """Create an account and return its first key."""
-    if not is_name(client_account):
-        return Refused(Reason.BAD_REQUEST, f"{client_account!r} is not a name")
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
-    requires = await _template_at(table, operation, template)
+    if not is_valid_name(client_account):
+        return Refused(Reason.BAD_REQUEST, f"{client_account!r} is not a valid name")
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
+    requires = await _template_requirement(table, operation, template)
     if not isinstance(requires, Done):
         return requires
     key = new_key()
     document = AccountDocument(
         ClientAccountName(client_account),
         template,
-        (hash_of_key(key),),
+        (hash_key(key),),
         parameters=parameters,
     )
     outcome = await commit(
@@ -88,7 +94,7 @@
         operation,
         f"create account {client_account}",
         (Edit(document, 0),),
-        seen_revision=seen.value,
+        base_revision=base.value,
         requires=requires.value,
     )
     return _created(key, document, outcome)
@@ -104,15 +110,17 @@
     template: str | None = None,
     enabled: bool | None = None,
 ) -> Result[Outcome]:
-    """Change what an account sets over its template.
+    """Change the parameters of an account that override its template.
 
-    :param unset: parameters that shall come from the template again.
-    :param template: None to keep the present one, "" for none.
+    :param parameters: parameters to set.
+    :param unset: parameters to remove, so that the template's apply again.
+    :param template: name of the new template, "" for none; None keeps the current one.
+    :param enabled: whether to serve the account; None keeps the current state.
     """
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
-    found = await _account_at(table, operation, client_account)
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
+    found = await _load_account(table, operation, client_account)
     if not isinstance(found, Done):
         return found
     old, version = found.value
@@ -125,7 +133,7 @@
         template=old.template if template is None else template,
         enabled=old.enabled if enabled is None else enabled,
     )
-    requires = await _template_at(table, operation, new.template)
+    requires = await _template_requirement(table, operation, new.template)
     if not isinstance(requires, Done):
         return requires
     return await commit(
@@ -133,7 +141,7 @@
         operation,
         _summary(old, new),
         (Edit(new, version),),
-        seen_revision=seen.value,
+        base_revision=base.value,
         requires=requires.value,
     )
 
@@ -145,27 +153,27 @@
     *,
     keep_old: bool = True,
 ) -> Result[CreatedKey]:
-    """Add a new key; the one before stays good until the next rotation.
+    """Add a new key; the previous key stays valid until the next rotation.
 
-    :param keep_old: False to make only the new key good, as after a leak.
+    :param keep_old: False revokes all older keys at once, for example after a leak.
     """
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
-    found = await _account_at(table, operation, client_account)
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
+    found = await _load_account(table, operation, client_account)
     if not isinstance(found, Done):
         return found
     old, version = found.value
     key = new_key()
-    kept = old.key_hashes[-(MAX_KEYS - 1) :] if keep_old else ()
-    new = evolve(old, key_hashes=(*kept, hash_of_key(key)))
-    what = "rotate the key" if keep_old else "replace all keys"
+    retained = old.key_hashes[-(MAX_KEYS - 1) :] if keep_old else ()
+    new = evolve(old, key_hashes=(*retained, hash_key(key)))
+    action = "rotate the key" if keep_old else "replace all keys"
     outcome = await commit(
         table,
         operation,
-        f"{what} of account {client_account}",
+        f"{action} of account {client_account}",
         (Edit(new, version),),
-        seen_revision=seen.value,
+        base_revision=base.value,
     )
     return _created(key, new, outcome)
 
@@ -173,14 +181,14 @@
 def _created(
     key: str, document: AccountDocument, outcome: Result[Outcome]
 ) -> Result[CreatedKey]:
-    """Return the key, unless another run under the same id made another key."""
+    """Return the key, or a refusal if an earlier run with the same id made the key."""
     if not isinstance(outcome, Done):
         return outcome
     change = outcome.value.change
     if document not in change.puts:
         detail = (
-            f"an earlier run did it in revision {change.revision}; its key cannot "
-            'be shown again, run "account key rotate"'
+            f"an earlier run made the change in revision {change.revision}; its key "
+            'cannot be shown again, run "account key rotate"'
         )
         return Refused(Reason.ALREADY_RUN, detail)
     return Done(CreatedKey(key, outcome.value))
@@ -198,10 +206,10 @@
     return f"set account {old.client_account}: " + ("; ".join(pieces) or "nothing")
 
 
-async def _template_at(
+async def _template_requirement(
     table: TablePort, operation: Operation, template: str
 ) -> Result[tuple[tuple[DocumentName, int], ...]]:
-    """Return the version of a template that must still hold at the write."""
+    """Return the template's version that the write requires; empty without one."""
     if not template:
         return Done(())
     name = DocumentName(DocumentKind.TEMPLATE, template)
@@ -213,7 +221,7 @@
     return Done(((name, found.value.version),))
 
 
-async def _account_at(
+async def _load_account(
     table: TablePort, operation: Operation, client_account: str
 ) -> Result[tuple[AccountDocument, int]]:
     name = DocumentName(DocumentKind.ACCOUNT, client_account)
--- a/src/endivegw/commands/budget.py
+++ b/src/endivegw/commands/budget.py
@@ -16,11 +16,14 @@
 
 @frozen
 class TopUpOutcome:
-    """Say what a top-up did.
+    """Result of a top-up.
 
-    :param added: False where the same operation had added the tokens before.
-    :param topped_up_tokens: all that was ever added, after this top-up; None
-        where it could not be read any more, or in a dry run.
+    :param budget: the budget of the top-up.
+    :param tokens: number of tokens of the top-up.
+    :param added: False if an earlier run of the same operation added the tokens.
+    :param topped_up_tokens: total of all top-ups including this one; None in a dry
+        run, or if it could not be read.
+    :param dry_run: whether nothing was written.
     """
 
     budget: BudgetKey
@@ -33,13 +36,15 @@
 async def top_up_budget(
     table: TablePort, operation: Operation, budget: BudgetKey, tokens: int
 ) -> Result[TopUpOutcome]:
-    """Add tokens once for the operation's id.
+    """Add tokens to a budget, once for each operation id.
 
-    The budget must stand in the account's parameters: tokens added under a
-    misspelt name could be spent by nobody, and would be missed at the door.
+    The account's parameters must list the budget: no request could spend tokens
+    that were added under a misspelt name, and the intended budget would lack them.
     """
     if tokens <= 0:
-        return Refused(Reason.BAD_REQUEST, "a top-up adds more than 0 tokens")
+        return Refused(
+            Reason.BAD_REQUEST, f"a top-up must add more than 0 tokens, not {tokens}"
+        )
     known = await _require_budget(table, operation, budget)
     if not isinstance(known, Done):
         return known
--- a/src/endivegw/commands/changes.py
+++ b/src/endivegw/commands/changes.py
@@ -1,4 +1,4 @@
-"""What all commands share that change the configuration."""
+"""Common parts of the commands that change the configuration."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 from endivegw.services import TablePort
 from endivegw.types import ConfigRevision
 
-__all__ = ["Operation", "Outcome", "commit", "difference", "is_name"]
+__all__ = ["Operation", "Outcome", "commit", "difference", "is_valid_name"]
 
-#: An account may have hundreds of budgets; a history line need not name them.
+#: Maximum length of a difference in the history. An account may have hundreds of
+#: budgets, which need not all be listed there.
 _MAX_DIFFERENCE = 400
 
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
@@ -25,12 +26,14 @@
 
 @frozen
 class Operation:
-    """Hold who runs a command, when, and under which id.
-
-    :param operation_id: chosen once for the command; no two share one.
-    :param now_s: seconds since 1970.
-    :param dry_run: check everything and write nothing.
-    :param timeout_s: for each call of the table.
+    """Identity and options of one run of a command.
+
+    :param operation_id: unique id of the operation; a run that repeats an operation
+        has the same id.
+    :param operator: name of the operator, for the history.
+    :param now_s: time of the run as Unix time.
+    :param dry_run: validate the change without writing it.
+    :param timeout_s: time limit of each call to the table.
     """
 
     operation_id: str
@@ -42,9 +45,10 @@
 
 @frozen
 class Outcome:
-    """Say what a command did.
+    """Result of a command.
 
-    :param change: as it was accepted; with revision 0 after a dry run.
+    :param change: the accepted change; in a dry run, the planned one at revision 0.
+    :param dry_run: whether nothing was written.
     """
 
     change: Change = field()
@@ -52,7 +56,7 @@
 
 
 def difference(old: Parameters, new: Parameters) -> str:
-    """Return what differs, such as ``weight: 1 -> 2; priority: normal -> urgent``."""
+    """Describe differences, such as ``weight: 1 -> 2; priority: normal -> urgent``."""
     pieces = []
     for name in PARAMETER_NAMES:
         before, after = getattr(old, name), getattr(new, name)
@@ -64,8 +68,8 @@
     return text
 
 
-def is_name(text: str) -> bool:
-    """Return whether a template, account or target may be called so."""
+def is_valid_name(text: str) -> bool:
+    """Return whether a text is a valid name of a template, account or target."""
     return _NAME.fullmatch(text) is not None
 
 
@@ -75,15 +79,17 @@
     summary: str,
     edits: tuple[Edit | Removal, ...],
     *,
-    seen_revision: ConfigRevision,
+    base_revision: ConfigRevision,
     requires: tuple[tuple[DocumentName, int], ...] = (),
     exact: bool = False,
 ) -> Result[Outcome]:
-    """Write the edits as one change, or say who came first and with what.
+    """Write the edits as one change; a conflict lists the changes that came first.
 
-    :param seen_revision: the revision that was read before the documents; the
-        changes behind it are shown in a conflict.
-    :param exact: refuse where anything changed since ``seen_revision``.
+    :param summary: description of the change for the history.
+    :param base_revision: revision that was read before the documents; a conflict
+        lists the changes after it.
+    :param requires: versions of other documents that must still be current.
+    :param exact: refuse the edits if anything changed since ``base_revision``.
     """
     draft = Draft(
         operation.operation_id,
@@ -92,20 +98,22 @@
         summary,
         edits,
         requires,
-        seen_revision if exact else None,
+        base_revision if exact else None,
     )
     if operation.dry_run:
-        return Done(Outcome(_dry_change(draft), dry_run=True))
+        return Done(Outcome(_preview_change(draft), dry_run=True))
     result = await commit_change(table, draft, timeout_s=operation.timeout_s)
     match result:
         case Done(change):
             return Done(Outcome(change))
         case Refused(Reason.CONFLICT):
-            return await _explained(table, result, draft, seen_revision, operation)
+            return await _with_conflicting_changes(
+                table, result, draft, base_revision, operation
+            )
     return result
 
 
-def _dry_change(draft: Draft) -> Change:
+def _preview_change(draft: Draft) -> Change:
     puts = tuple(edit.document for edit in draft.edits if isinstance(edit, Edit))
     removed = tuple(edit.name for edit in draft.edits if isinstance(edit, Removal))
     return Change(
@@ -119,15 +127,15 @@
     )
 
 
-async def _explained(
+async def _with_conflicting_changes(
     table: TablePort,
     conflict: Refused,
     draft: Draft,
-    seen_revision: ConfigRevision,
+    base_revision: ConfigRevision,
     operation: Operation,
 ) -> Refused:
-    """Add to a conflict what was changed by whom since the operator looked."""
-    changes = await load_changes(table, seen_revision, timeout_s=operation.timeout_s)
+    """Add the changes since the base revision, and their operators, to a conflict."""
+    changes = await load_changes(table, base_revision, timeout_s=operation.timeout_s)
     if not isinstance(changes, Done):
         return conflict
     names = {name for name, _ in draft.requires}
--- a/src/endivegw/commands/target.py
+++ b/src/endivegw/commands/target.py
@@ -1,10 +1,10 @@
-"""Say what targets are, and drain, resume and stop them."""
+"""Create, update, drain, resume and stop targets."""
 
 from __future__ import annotations
 
 from attrs import evolve
 
-from endivegw.commands.changes import Operation, Outcome, commit, is_name
+from endivegw.commands.changes import Operation, Outcome, commit, is_valid_name
 from endivegw.configuration.commits import Edit
 from endivegw.configuration.documents import (
     DocumentKind,
@@ -22,17 +22,17 @@
 async def set_target(
     table: TablePort, operation: Operation, parameters: TargetParameters
 ) -> Result[Outcome]:
-    """Write a target's parameters, whether or not it is there already.
+    """Create a target or replace its parameters.
 
-    A target that is drained or stopped stays so.
+    A target that is drained or stopped stays drained or stopped.
     """
     name = str(parameters.target)
-    if not is_name(name):
-        return Refused(Reason.BAD_REQUEST, f"{name!r} is not a name")
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
-    found = await _target_at(table, operation, name)
+    if not is_valid_name(name):
+        return Refused(Reason.BAD_REQUEST, f"{name!r} is not a valid name")
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
+    found = await _load_target(table, operation, name)
     if not isinstance(found, Done):
         return found
     old, version = found.value
@@ -43,28 +43,28 @@
         operation,
         f"set target {name}",
         (Edit(TargetDocument(parameters), version),),
-        seen_revision=seen.value,
+        base_revision=base.value,
     )
 
 
 async def drain_target(
     table: TablePort, operation: Operation, target: str
 ) -> Result[Outcome]:
-    """Give a target no new work; what runs there ends by itself."""
+    """Stop sending new work to a target; running work completes."""
     return await _set_state(table, operation, target, "drain", True, False)
 
 
 async def resume_target(
     table: TablePort, operation: Operation, target: str
 ) -> Result[Outcome]:
-    """Give a drained or stopped target work again."""
+    """Send work to a drained or stopped target again."""
     return await _set_state(table, operation, target, "resume", False, False)
 
 
 async def stop_target(
     table: TablePort, operation: Operation, target: str
 ) -> Result[Outcome]:
-    """Drain a target and let its sidecar end once its work is done."""
+    """Drain a target; its sidecar exits once running work has completed."""
     return await _set_state(table, operation, target, "stop", True, True)
 
 
@@ -76,10 +76,10 @@
     drained: bool,
     stopped: bool,
 ) -> Result[Outcome]:
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
-    found = await _target_at(table, operation, target)
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
+    found = await _load_target(table, operation, target)
     if not isinstance(found, Done):
         return found
     old, version = found.value
@@ -91,11 +91,11 @@
         operation,
         f"{verb} target {target}",
         (Edit(TargetDocument(new), version),),
-        seen_revision=seen.value,
+        base_revision=base.value,
     )
 
 
-async def _target_at(
+async def _load_target(
     table: TablePort, operation: Operation, target: str
 ) -> Result[tuple[TargetParameters | None, int]]:
     name = DocumentName(DocumentKind.TARGET, target)
--- a/src/endivegw/commands/template.py
+++ b/src/endivegw/commands/template.py
@@ -4,7 +4,13 @@
 
 from attrs import frozen
 
-from endivegw.commands.changes import Operation, Outcome, commit, difference, is_name
+from endivegw.commands.changes import (
+    Operation,
+    Outcome,
+    commit,
+    difference,
+    is_valid_name,
+)
 from endivegw.configuration.commits import Edit, Removal
 from endivegw.configuration.documents import (
     DocumentKind,
@@ -23,20 +29,21 @@
 from endivegw.types import ConfigRevision
 
 __all__ = [
-    "SeenTemplate",
+    "LoadedTemplate",
     "create_template",
     "delete_template",
     "edit_template",
-    "see_template",
+    "load_template",
 ]
 
 
 @frozen
-class SeenTemplate:
-    """Hold a template as an operator saw it before the edit.
+class LoadedTemplate:
+    """A template as it was before an edit.
 
-    :param revision: the configuration's, read before the template.
-    :param version: the template's row's.
+    :param revision: revision of the configuration, read before the template.
+    :param version: version of the template's row.
+    :param template: the template.
     """
 
     revision: ConfigRevision
@@ -44,18 +51,18 @@
     template: TemplateDocument
 
 
-async def see_template(
+async def load_template(
     table: TablePort, operation: Operation, template: str
-) -> Result[SeenTemplate]:
+) -> Result[LoadedTemplate]:
     """Read a template for an edit."""
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
     name = DocumentName(DocumentKind.TEMPLATE, template)
     found = await load_document(table, name, timeout_s=operation.timeout_s)
     match found:
         case Done(VersionedDocument(version, TemplateDocument() as document)):
-            return Done(SeenTemplate(seen.value, version, document))
+            return Done(LoadedTemplate(base.value, version, document))
         case Done():
             return Refused(Reason.NOT_FOUND, f"no template named {template}")
         case failure:
@@ -65,33 +72,36 @@
 async def create_template(
     table: TablePort, operation: Operation, template: str, parameters: Parameters
 ) -> Result[Outcome]:
-    """Create a template; refused where one of that name exists."""
-    if not is_name(template):
-        return Refused(Reason.BAD_REQUEST, f"{template!r} is not a name")
-    seen = await load_revision(table, timeout_s=operation.timeout_s)
-    if not isinstance(seen, Done):
-        return seen
+    """Create a template; refused if one of that name exists."""
+    if not is_valid_name(template):
+        return Refused(Reason.BAD_REQUEST, f"{template!r} is not a valid name")
+    base = await load_revision(table, timeout_s=operation.timeout_s)
+    if not isinstance(base, Done):
+        return base
     return await commit(
         table,
         operation,
         f"create template {template}",
         (Edit(TemplateDocument(template, parameters), 0),),
-        seen_revision=seen.value,
+        base_revision=base.value,
     )
 
 
 async def edit_template(
-    table: TablePort, operation: Operation, seen: SeenTemplate, parameters: Parameters
+    table: TablePort,
+    operation: Operation,
+    loaded: LoadedTemplate,
+    parameters: Parameters,
 ) -> Result[Outcome]:
-    """Replace a template's parameters, unless somebody did so since it was seen."""
-    name = seen.template.template
-    changed = difference(seen.template.parameters, parameters) or "nothing"
+    """Replace a template's parameters; refused if it changed since it was loaded."""
+    name = loaded.template.template
+    changed = difference(loaded.template.parameters, parameters) or "nothing"
     return await commit(
         table,
         operation,
         f"edit template {name}: {changed}",
-        (Edit(TemplateDocument(name, parameters), seen.version),),
-        seen_revision=seen.revision,
+        (Edit(TemplateDocument(name, parameters), loaded.version),),
+        base_revision=loaded.revision,
     )
 
 
@@ -100,13 +110,13 @@
 ) -> Result[Outcome]:
     """Delete a template that no account uses.
 
-    Whether an account uses it is a matter of all accounts, so that the
-    deletion holds only at the very revision that was looked at: else an
-    account created in between would be left without its template.
+    The check covers all accounts, so that the deletion is valid only at the
+    revision that was checked: otherwise an account that is created in between would
+    refer to a deleted template.
     """
-    seen = await see_template(table, operation, template)
-    if not isinstance(seen, Done):
-        return seen
+    loaded = await load_template(table, operation, template)
+    if not isinstance(loaded, Done):
+        return loaded
     documents = await load_documents(table, timeout_s=operation.timeout_s)
     if not isinstance(documents, Done):
         return documents
@@ -120,7 +130,7 @@
         table,
         operation,
         f"delete template {template}",
-        (Removal(name, seen.value.version),),
-        seen_revision=documents.value.revision,
+        (Removal(name, loaded.value.version),),
+        base_revision=documents.value.revision,
         exact=True,
     )
--- a/src/endivegw/commands/transfer.py
+++ b/src/endivegw/commands/transfer.py
@@ -1,4 +1,4 @@
-"""Write a whole configuration to a file and take one in."""
+"""Import a complete configuration."""
 
 from __future__ import annotations
 
@@ -20,41 +20,45 @@
 
 __all__ = ["MAX_EDITS", "import_documents"]
 
-#: Documents in one change: a transaction holds 100 items, three of which are
-#: the revision, the change and the operation; and the change's row, which
-#: holds the documents whole, must stay below the 400 KB of a table's row.
+#: Maximum number of documents in one change. A transaction holds 100 items, three of
+#: which are the revision, the change and the operation; and the row of the change,
+#: which contains the complete documents, must stay below the table's limit of 400 KB.
 MAX_EDITS = 40
 
-#: Templates before the accounts that need them.
-_ORDER = {DocumentKind.TEMPLATE: 0, DocumentKind.TARGET: 1, DocumentKind.ACCOUNT: 2}
+#: Templates are written before the accounts that refer to them.
+_KIND_ORDER = {
+    DocumentKind.TEMPLATE: 0,
+    DocumentKind.TARGET: 1,
+    DocumentKind.ACCOUNT: 2,
+}
 
 
 async def import_documents(
     table: TablePort, operation: Operation, wanted: Documents, *, prune: bool = False
 ) -> Result[tuple[Outcome, ...]]:
-    """Make the stored configuration equal to ``wanted``, in as few changes as fit.
+    """Make the stored configuration equal to ``wanted``, in as few changes as possible.
 
-    :param prune: also remove documents that ``wanted`` lacks.
+    :param prune: also remove documents that are not in ``wanted``.
     """
     missing = _missing_templates(wanted)
     if missing:
         return Refused(Reason.BAD_REQUEST, f"no template named {missing[0]}")
-    present = await load_documents(table, timeout_s=operation.timeout_s)
-    if not isinstance(present, Done):
-        return present
+    current = await load_documents(table, timeout_s=operation.timeout_s)
+    if not isinstance(current, Done):
+        return current
     versions = await load_document_versions(table, timeout_s=operation.timeout_s)
     if not isinstance(versions, Done):
         return versions
-    edits = _edits(present.value, versions.value, wanted, prune)
+    edits = _edits(current.value, versions.value, wanted, prune)
     outcomes: list[Outcome] = []
-    revision = present.value.revision
+    revision = current.value.revision
     for number, start in enumerate(range(0, len(edits), MAX_EDITS)):
         outcome = await commit(
             table,
             evolve(operation, operation_id=f"{operation.operation_id}-{number}"),
             f"import {len(edits)} documents, part {number + 1}",
             edits[start : start + MAX_EDITS],
-            seen_revision=revision,
+            base_revision=revision,
             exact=True,
         )
         if not isinstance(outcome, Done):
@@ -75,23 +79,23 @@
 
 
 def _edits(
-    present: Documents,
+    current: Documents,
     versions: dict[DocumentName, int],
     wanted: Documents,
     prune: bool,
 ) -> tuple[Edit | Removal, ...]:
     edits: list[Edit | Removal] = []
-    for name in sorted(wanted.by_name, key=_rank):
+    for name in sorted(wanted.by_name, key=_write_order):
         document: Document = wanted.by_name[name]
-        if present.by_name.get(name) != document:
+        if current.by_name.get(name) != document:
             edits.append(Edit(document, versions.get(name, 0)))
     if prune:
-        gone = set(present.by_name) - set(wanted.by_name)
-        # Accounts go before their templates.
-        for name in sorted(gone, key=_rank, reverse=True):
+        obsolete = set(current.by_name) - set(wanted.by_name)
+        # Accounts are removed before the templates that they refer to.
+        for name in sorted(obsolete, key=_write_order, reverse=True):
             edits.append(Removal(name, versions[name]))
     return tuple(edits)
 
 
-def _rank(name: DocumentName) -> tuple[int, str]:
-    return _ORDER[name.kind], name.name
+def _write_order(name: DocumentName) -> tuple[int, str]:
+    return _KIND_ORDER[name.kind], name.name
--- a/src/endivegw/daemons/claim_desk.py
+++ b/src/endivegw/daemons/claim_desk.py
@@ -28,9 +28,9 @@
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue.sidecar import (
     CLAIM_ANSWERED,
+    SLOT_ACQUIRED,
     SLOT_LOST,
     SLOT_RELEASED,
-    SLOT_TAKEN,
 )
 from endivegw.types import InstanceId, TargetName
 
@@ -227,7 +227,7 @@
         kept = KeptSlot(slot, owner, heartbeat, self._table, self._clock, self._wall)
         self._kept[slot.number] = kept
         self._log.emit(
-            SLOT_TAKEN, slot=slot.number, epoch=slot.epoch, tainted=slot.tainted
+            SLOT_ACQUIRED, slot=slot.number, epoch=slot.epoch, tainted=slot.tainted
         )
         tasks.start_soon(self._keep, kept)
 
--- a/src/endivegw/daemons/direct_router.py
+++ b/src/endivegw/daemons/direct_router.py
@@ -143,7 +143,9 @@
         """End what runs, give the tokens back, then let :meth:`run` return."""
         options = self._options
         self._parts.context.draining = True
-        self._parts.log.emit(events.DRAINING_BEGUN, connections=len(self._connections))
+        self._parts.log.emit(
+            events.DRAINING_STARTED, connections=len(self._connections)
+        )
         with anyio.move_on_after(options.stop_within_s):
             await anyio.sleep(options.stop_after_s)
             # A balancer with too few other routers goes on sending callers here.
--- a/src/endivegw/daemons/row_feed.py
+++ b/src/endivegw/daemons/row_feed.py
@@ -107,7 +107,7 @@
     def _heard(self, changes: Changes) -> None:
         if self._away_since_s is not None:
             self._log.emit(
-                events.FEED_REGAINED,
+                events.FEED_RECOVERED,
                 table=self._table,
                 away_s=round(self._clock() - self._away_since_s, 3),
                 revision=changes.timestamp.revision,
--- a/src/endivegw/daemons/sidecar_work.py
+++ b/src/endivegw/daemons/sidecar_work.py
@@ -16,7 +16,7 @@
 from endivegw.results import Reason, Refused
 from endivegw.telemetry import EventLog, Metrics
 from endivegw.telemetry.catalogue.sidecar import (
-    ATTEMPT_BROKE,
+    ATTEMPT_CRASHED,
     ATTEMPT_ENDED,
     ATTEMPT_STARTED,
 )
@@ -135,7 +135,9 @@
             # A mistake in one attempt must not cut off the others, which share
             # this process; it is logged as an error and ends its own answer.
             reason = Reason.TARGET_FAILED
-            self._log.emit(ATTEMPT_BROKE, attempt_id=run.attempt_id, detail=repr(error))
+            self._log.emit(
+                ATTEMPT_CRASHED, attempt_id=run.attempt_id, detail=repr(error)
+            )
         if run.buffer.outcome is None:
             if self._clock() >= run.deadline_s:
                 reason = Reason.DEADLINE
@@ -178,7 +180,7 @@
         except InvariantError as error:
             # The target consumed more than was reserved. The ledger has counted
             # it; the answer and the other attempts are not to suffer for it.
-            self._log.emit(ATTEMPT_BROKE, attempt_id=attempt_id, detail=error.message)
+            self._log.emit(ATTEMPT_CRASHED, attempt_id=attempt_id, detail=error.message)
 
     def _forget(self, attempt_id: AttemptId) -> None:
         run = self._ended.pop(attempt_id)
--- a/src/endivegw/membership/agent.py
+++ b/src/endivegw/membership/agent.py
@@ -16,8 +16,8 @@
 from endivegw.telemetry import EventLog
 from endivegw.telemetry.catalogue.membership import (
     INSTANCE_REPLACED,
-    LIST_UNREAD,
     PEER_CHANGED,
+    VM_LIST_UNREADABLE,
 )
 
 __all__ = ["ChoosePeers", "HeartbeatListener", "MembershipAgent"]
@@ -104,7 +104,7 @@
             case _:
                 # Keep the last list: an outage of the list service is no evidence
                 # about the machines.
-                self._log.emit(LIST_UNREAD, reason=result.reason.value)
+                self._log.emit(VM_LIST_UNREADABLE, reason=result.reason.value)
                 self._report_changes(self._view.refresh(now_s))
 
     def _update_watched(self, tasks: TaskGroup) -> None:
--- a/src/endivegw/platform/command.py
+++ b/src/endivegw/platform/command.py
@@ -32,7 +32,7 @@
     load_direct_router_settings,
 )
 from endivegw.telemetry import EventLog
-from endivegw.telemetry.bounded import BoundedLines, bounded_handler
+from endivegw.telemetry.bounded import BoundedLineBuffer, bounded_handler
 from endivegw.telemetry.catalogue.relay import SETTINGS_READ
 
 __all__ = ["PlatformDecoder", "platform_router"]
@@ -106,7 +106,7 @@
 
 
 async def _run(
-    router: DirectRouter, lines: BoundedLines, reread: Callable[[], None]
+    router: DirectRouter, lines: BoundedLineBuffer, reread: Callable[[], None]
 ) -> None:
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lines.run)
--- a/src/endivegw/queries/__init__.py
+++ b/src/endivegw/queries/__init__.py
@@ -1,1 +1,1 @@
-"""Operators' queries: what only reads."""
+"""Operators' queries, which read the platform's table and never write to it."""
--- a/src/endivegw/queries/bills.py
+++ b/src/endivegw/queries/bills.py
@@ -1,4 +1,4 @@
-"""Read the bill of a budget and compare it with what was settled."""
+"""Read the bill of a budget and compare it with the settled tokens."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 from endivegw.services import TablePort
 from endivegw.types import BudgetKey
 
-__all__ = ["Bill", "bill_of"]
+__all__ = ["Bill", "load_bill"]
 
 
 @frozen
 class Bill:
-    """Hold a budget's records of a period and the sums of all of its time.
+    """Bill of a budget: the records of a period and the sums over all records.
 
-    :param records: of the period, in the order in which routers wrote them.
+    :param records: records of the period, in the order in which routers wrote them.
+    :param sums: comparison of all records, whatever their period, with the budget.
     """
 
     records: tuple[BillRecord, ...]
     sums: Reconciliation
 
 
-async def bill_of(
+async def load_bill(
     table: TablePort,
     budget: BudgetKey,
     *,
@@ -35,10 +36,11 @@
 ) -> Result[Bill]:
     """Return a budget's bill.
 
-    The row is read after the records: lines that arrive meanwhile show as
-    settled and not billed yet, and never the other way.
+    The row is read after the records, so that records written in between show as
+    settled and not yet billed, never as billed and not settled.
 
-    :param from_s: Unix time; earlier records count in the sums only.
+    :param from_s: start of the period as Unix time; None for no bound.
+    :param until_s: end of the period (exclusive) as Unix time; None for no bound.
     """
     records: list[BillRecord] = []
     async for record in read_bill(table, budget):
@@ -51,10 +53,10 @@
     row = rows.value[0]
     if row is None:
         return Refused(Reason.BUDGET_UNKNOWN, f"budget {budget} was never topped up")
-    wanted = tuple(
+    in_period = tuple(
         record
         for record in records
         if (from_s is None or record.at_s >= from_s)
         and (until_s is None or record.at_s < until_s)
     )
-    return Done(Bill(wanted, reconcile(row, records)))
+    return Done(Bill(in_period, reconcile(row, records)))
--- a/src/endivegw/queries/budgets.py
+++ b/src/endivegw/queries/budgets.py
@@ -1,4 +1,4 @@
-"""List budgets as the table holds them."""
+"""List the budgets in the table."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 async def list_budgets(
     table: TablePort, *, client_account: str = "", timeout_s: float
 ) -> Result[tuple[BudgetRow, ...]]:
-    """Return the budgets of one account, or of all, in order of their names."""
+    """Return the budgets of one account or of all accounts, sorted by name."""
     prefix = f"{client_account}/" if client_account else ""
-    found: list[BudgetRow] = []
+    budgets: list[BudgetRow] = []
     after: str | None = None
     while True:
         page = await table.scan(
@@ -22,7 +22,7 @@
         )
         if not isinstance(page, Done):
             return page
-        found += [BudgetRow.of(row) for row in page.value.rows]
+        budgets += [BudgetRow.of(row) for row in page.value.rows]
         after = page.value.next_sort
         if after is None:
-            return Done(tuple(found))
+            return Done(tuple(budgets))
--- a/src/endivegw/queries/fleet.py
+++ b/src/endivegw/queries/fleet.py
@@ -1,4 +1,4 @@
-"""Which daemons are there, and which revision each one has."""
+"""Daemons of the fleet and the revision of the configuration that each has."""
 
 from __future__ import annotations
 
@@ -19,30 +19,31 @@
 
 @frozen
 class FleetRevisions:
-    """Hold the accepted revision and what is known of each daemon.
+    """The accepted revision and the revisions of the daemons.
 
-    :param daemons: those of which a report was written of late.
-    :param unheard: VMs that the platform lists as live and no report names.
-        The list lags, so that a dead VM may be among them for a while.
-    :param vms: the platform's list; empty where it did not answer.
-    :param vms_known: whether it answered.
+    :param revision: the newest accepted revision.
+    :param daemons: daemons that a recent report names and that are not leaving.
+    :param unreported_vms: VMs that the platform lists as live and no report names.
+        The list lags behind, so that it may include a dead VM for a while.
+    :param vms: the platform's list of VMs; empty if it did not answer.
+    :param vms_known: whether the list answered.
     """
 
     revision: ConfigRevision
     daemons: tuple[DaemonRevision, ...]
-    unheard: tuple[str, ...]
+    unreported_vms: tuple[str, ...]
     vms: tuple[ListedVm, ...]
     vms_known: bool
 
     def lagging(self, revision: int) -> tuple[DaemonRevision, ...]:
-        """Return the daemons that lack a revision; 0 is one not yet ready."""
+        """Return the daemons that lack a revision; a daemon at 0 is not ready yet."""
         return tuple(entry for entry in self.daemons if entry.revision < revision)
 
 
 async def fleet_revisions(
     table: TablePort, vms: VmListPort, *, now_s: float, timeout_s: float
 ) -> Result[FleetRevisions]:
-    """Return what the table and the VM list say; the list may be away."""
+    """Return the revisions from the table, and the VMs if the VM list answers."""
     revision = await load_revision(table, timeout_s=timeout_s)
     if not isinstance(revision, Done):
         return revision
@@ -53,13 +54,13 @@
     listed = await vms.list_vms(timeout_s=timeout_s)
     known = listed.value if isinstance(listed, Done) else ()
     leaving = {vm.vm for vm in known if vm.state is VmState.LEAVING}
-    heard = {entry.daemon for entry in daemons}
-    unheard = sorted(
-        vm.vm for vm in known if vm.state is VmState.LIVE and vm.vm not in heard
+    reporting = {entry.daemon for entry in daemons}
+    unreported = sorted(
+        vm.vm for vm in known if vm.state is VmState.LIVE and vm.vm not in reporting
     )
     staying = tuple(entry for entry in daemons if entry.daemon not in leaving)
     return Done(
         FleetRevisions(
-            revision.value, staying, tuple(unheard), known, isinstance(listed, Done)
+            revision.value, staying, tuple(unreported), known, isinstance(listed, Done)
         )
     )
--- a/src/endivegw/relay/request_run.py
+++ b/src/endivegw/relay/request_run.py
@@ -148,7 +148,7 @@
             figures = placement.figures
             context.metrics.queued(figures.queued_s)
             if self._progress.send_count:
-                context.metrics.sent_again()
+                context.metrics.record_retry()
             context.log.emit(
                 events.REQUEST_PLACED,
                 request_id=self._admitted.request_id,
--- a/src/endivegw/relay/target_ends.py
+++ b/src/endivegw/relay/target_ends.py
@@ -85,7 +85,7 @@
         self, start: TargetStart, source: str, fingerprints: list[Fingerprint]
     ) -> None:
         self._log.emit(
-            events.TARGET_ENDED,
+            events.TARGET_TERMINATED,
             target=start.instance_id,
             started_ms=start.started_ms,
             source=source,
--- a/src/endivegw/relay/target_report.py
+++ b/src/endivegw/relay/target_report.py
@@ -30,7 +30,7 @@
     if not metadata.leaving and metadata.pause_s is None:
         return
     context.log.emit(
-        events.TARGET_SAID,
+        events.TARGET_REPORTED,
         request_id=request_id,
         target=placement.target,
         leaving=metadata.leaving,
--- a/src/endivegw/settings/__init__.py
+++ b/src/endivegw/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemons, read from INI files and checked."""
+"""Settings of the daemons, read from INI files and validated."""
 
 from endivegw.settings.load import (
     load_platform_settings,
--- a/src/endivegw/settings/direct.py
+++ b/src/endivegw/settings/direct.py
@@ -1,4 +1,4 @@
-"""Settings of a router that calls targets itself."""
+"""Settings of a direct router, which calls targets itself."""
 
 from __future__ import annotations
 
@@ -15,21 +15,24 @@
 
 @frozen
 class DirectRouterSettings:
-    """Hold the settings of one process.
+    """Settings of one direct router process.
 
-    :param vm: the machine's name, which a restarted process has again.
-    :param callers: where callers connect.
-    :param ready: where the balancer asks whether the router is ready.
-    :param peers: where the other routers send datagrams.
-    :param store: the platform's store.
-    :param metrics: where the page of metrics is served; None for nowhere.
-    :param spread_rows: whether one transaction may write several of the store's
-        partitions; each router's row then has one of its own.
-    :param row_lasts_s: how long a router that writes nothing goes on using the tokens
-        that it drew; then others give back what is left of them.
-    :param mechanisms: what is in use of what can be switched off.
-    :param stop_within_s: how long an orderly stop may take.
+    :param vm: name of the machine; a restarted process has the same name.
+    :param availability_zone: zone of the machine.
+    :param callers: address on which the router accepts callers' connections.
+    :param ready: address on which the load balancer queries readiness.
+    :param peers: address on which the router receives datagrams of other routers.
+    :param store: address of the platform's store.
+    :param stop_within_s: maximum duration of an orderly stop.
+    :param retry_share: retries allowed per request.
+    :param retry_burst: retries allowed beyond that share.
     :param log_level: ``debug``, ``info``, ``warning`` or ``error``.
+    :param metrics: address on which metrics are served; None disables the server.
+    :param spread_rows: whether one transaction may write several of the store's
+        partitions; the row of each router is then in a partition of its own.
+    :param row_lasts_s: how long a router that cannot write to the store continues to
+        use the tokens that it drew; other routers then return the remaining tokens.
+    :param mechanisms: optional mechanisms that are enabled.
     """
 
     vm: str
@@ -49,7 +52,10 @@
 
 
 def load_direct_router_settings(path: pathlib.Path) -> DirectRouterSettings:
-    """Read and check a file; :exc:`SettingsError` names what is wrong in it."""
+    """Read and validate a settings file.
+
+    :raises SettingsError: for the first invalid value, naming its section and key.
+    """
     reader = SettingsReader(path)
     settings = DirectRouterSettings(
         vm=reader.text("process", "vm"),
@@ -58,12 +64,12 @@
         ready=reader.address("listen", "ready"),
         peers=reader.address("listen", "peers"),
         store=reader.address("store", "address"),
-        stop_within_s=reader.number("stop", "grace_s", 8.0, least=1.0, most=600.0),
-        retry_share=reader.number("retries", "share", 0.1, most=1.0),
+        stop_within_s=reader.number("stop", "grace_s", 8.0, minimum=1.0, maximum=600.0),
+        retry_share=reader.number("retries", "share", 0.1, maximum=1.0),
         retry_burst=reader.number("retries", "burst", 10.0),
         spread_rows=reader.flag("store", "spread_rows", False),
         row_lasts_s=reader.number(
-            "budgets", "row_lasts_s", 20.0, least=2.0, most=3600.0
+            "budgets", "row_lasts_s", 20.0, minimum=2.0, maximum=3600.0
         ),
         mechanisms=read_mechanisms(reader),
         metrics=reader.optional_address("metrics", "address"),
@@ -71,5 +77,5 @@
             "logs", "level", ("debug", "info", "warning", "error"), "info"
         ),
     )
-    reader.end()
+    reader.reject_unknown_keys()
     return settings
--- a/src/endivegw/settings/load.py
+++ b/src/endivegw/settings/load.py
@@ -1,4 +1,4 @@
-"""Read and check a daemon's settings file."""
+"""Read and validate the settings file of a daemon."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 DEFAULT_ROUTER_PORT = 7401
 DEFAULT_SIDECAR_PORT = 7402
 
-#: Long, because a planned stop must not cut off a request in progress.
+#: Long, because a planned stop must not interrupt a request in progress.
 DEFAULT_DRAIN_BOUND_S = 600.0
 
 DEFAULT_MAX_BODY_BYTES = 2 * 1024 * 1024
@@ -42,14 +42,17 @@
 DEFAULT_PLATFORM_TIMEOUT_S = 2.0
 DEFAULT_MAX_RUNNING = 64
 
-#: Today's fleets: a few entry VMs and two dozen targets.
+#: Sized for a fleet of a few entry VMs and two dozen targets.
 DEFAULT_FLEET_DAEMONS = 30
 
 _LEVELS = ("debug", "info", "warning", "error")
 
 
 def load_router_settings(path: pathlib.Path) -> RouterSettings:
-    """Read a router's settings; :exc:`SettingsError` names what is wrong."""
+    """Read and validate the settings of a router.
+
+    :raises SettingsError: for the first invalid value, naming its section and key.
+    """
     reader = SettingsReader(path)
     settings = RouterSettings(
         process=_process(reader),
@@ -60,12 +63,15 @@
         logs=_logs(reader),
         recovery=_recovery(reader),
     )
-    reader.end()
+    reader.reject_unknown_keys()
     return settings
 
 
 def load_sidecar_settings(path: pathlib.Path) -> SidecarSettings:
-    """Read a sidecar's settings; :exc:`SettingsError` names what is wrong."""
+    """Read and validate the settings of a sidecar.
+
+    :raises SettingsError: for the first invalid value, naming its section and key.
+    """
     reader = SettingsReader(path)
     settings = SidecarSettings(
         process=_process(reader),
@@ -74,12 +80,12 @@
         platform=_platform(reader),
         logs=_logs(reader),
     )
-    reader.end()
+    reader.reject_unknown_keys()
     return settings
 
 
 def load_platform_settings(path: pathlib.Path) -> PlatformSettings:
-    """Read the section [platform] alone, from an operator's or a daemon's file."""
+    """Read only the section [platform] of an operator's or a daemon's file."""
     return _platform(SettingsReader(path))
 
 
@@ -93,28 +99,28 @@
 
 def _http(reader: SettingsReader) -> HttpLimits:
     return HttpLimits(
-        max_body_bytes=reader.whole(
-            "http", "max_body_bytes", DEFAULT_MAX_BODY_BYTES, least=1
+        max_body_bytes=reader.integer(
+            "http", "max_body_bytes", DEFAULT_MAX_BODY_BYTES, minimum=1
         ),
-        max_header_bytes=reader.whole(
-            "http", "max_header_bytes", DEFAULT_MAX_HEADER_BYTES, least=1024
+        max_header_bytes=reader.integer(
+            "http", "max_header_bytes", DEFAULT_MAX_HEADER_BYTES, minimum=1024
         ),
         default_deadline_s=reader.number(
-            "http", "default_deadline_s", DEFAULT_DEADLINE_S, least=0.1
+            "http", "default_deadline_s", DEFAULT_DEADLINE_S, minimum=0.1
         ),
         max_deadline_s=reader.number(
-            "http", "max_deadline_s", DEFAULT_MAX_DEADLINE_S, least=0.1
+            "http", "max_deadline_s", DEFAULT_MAX_DEADLINE_S, minimum=0.1
         ),
     )
 
 
-def _peers(reader: SettingsReader, own_port: int) -> PeerSettings:
-    listen = reader.address("peers", "listen", Address("127.0.0.1", own_port))
+def _peers(reader: SettingsReader, default_port: int) -> PeerSettings:
+    listen = reader.address("peers", "listen", Address("127.0.0.1", default_port))
     settings = PeerSettings(
         listen=listen,
         address=reader.address("peers", "address", listen),
-        router_port=reader.whole("peers", "router_port", DEFAULT_ROUTER_PORT),
-        sidecar_port=reader.whole("peers", "sidecar_port", DEFAULT_SIDECAR_PORT),
+        router_port=reader.integer("peers", "router_port", DEFAULT_ROUTER_PORT),
+        sidecar_port=reader.integer("peers", "sidecar_port", DEFAULT_SIDECAR_PORT),
         plain=reader.flag("peers", "plain", False),
         tls_ca=reader.file("peers", "tls_ca"),
         tls_certificate=reader.file("peers", "tls_certificate"),
@@ -131,7 +137,7 @@
         return
     raise SettingsError(
         f"{reader.path}: [peers] address: peers cannot reach {settings.address}; "
-        "name the machine's own address here"
+        "set the address of this machine"
     )
 
 
@@ -140,13 +146,13 @@
     if any(tls) and not all(tls):
         raise SettingsError(
             f"{reader.path}: [peers] tls_ca: "
-            "tls_ca, tls_certificate and tls_key go together"
+            "tls_ca, tls_certificate and tls_key must be set together"
         )
     if settings.plain or all(tls) or settings.shared_key_file:
         return
     raise SettingsError(
-        f"{reader.path}: [peers] plain: name TLS files or a shared_key_file, "
-        "or say plain = yes on a network that only the fleet can reach"
+        f"{reader.path}: [peers] plain: set the TLS files or shared_key_file, "
+        "or plain = yes on a network that only the fleet can reach"
     )
 
 
@@ -159,25 +165,31 @@
         access_key_id=reader.text("platform", "access_key_id", ""),
         secret_key_file=reader.file("platform", "secret_key_file"),
         timeout_s=reader.number(
-            "platform", "timeout_s", DEFAULT_PLATFORM_TIMEOUT_S, least=0.05, most=60.0
+            "platform",
+            "timeout_s",
+            DEFAULT_PLATFORM_TIMEOUT_S,
+            minimum=0.05,
+            maximum=60.0,
         ),
-        fleet_daemons=reader.whole(
-            "platform", "fleet_daemons", DEFAULT_FLEET_DAEMONS, least=1
+        fleet_daemons=reader.integer(
+            "platform", "fleet_daemons", DEFAULT_FLEET_DAEMONS, minimum=1
         ),
         weight_bytes_per_s=reader.number(
-            "platform", "weight_bytes_per_s", DEFAULT_WEIGHT_BYTES_PER_S, least=1.0
+            "platform", "weight_bytes_per_s", DEFAULT_WEIGHT_BYTES_PER_S, minimum=1.0
         ),
-        weight_loads_at_once=reader.whole(
-            "platform", "weight_loads_at_once", DEFAULT_WEIGHT_LOADS_AT_ONCE, least=1
+        weight_loads_at_once=reader.integer(
+            "platform", "weight_loads_at_once", DEFAULT_WEIGHT_LOADS_AT_ONCE, minimum=1
         ),
     )
 
 
 def _recovery(reader: SettingsReader) -> RecoverySettings:
-    default = RecoverySettings()
+    defaults = RecoverySettings()
     return RecoverySettings(
-        silence_s=reader.number("recovery", "silence_s", default.silence_s, least=1.0),
-        turn_s=reader.number("recovery", "turn_s", default.turn_s, least=0.5),
+        silence_s=reader.number(
+            "recovery", "silence_s", defaults.silence_s, minimum=1.0
+        ),
+        turn_s=reader.number("recovery", "turn_s", defaults.turn_s, minimum=0.5),
     )
 
 
@@ -198,5 +210,7 @@
         url=reader.url("target", "url"),
         serves=tuple(serves.split()),
         checks_fence=reader.flag("target", "checks_fence", False),
-        max_running=reader.whole("target", "max_running", DEFAULT_MAX_RUNNING, least=1),
+        max_running=reader.integer(
+            "target", "max_running", DEFAULT_MAX_RUNNING, minimum=1
+        ),
     )
--- a/src/endivegw/settings/mechanisms.py
+++ b/src/endivegw/settings/mechanisms.py
@@ -1,4 +1,4 @@
-"""Switches of what a router does beyond the needful, to measure what each is worth."""
+"""Switches for optional mechanisms of a router, to measure the effect of each."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 @frozen
 class Mechanisms:
-    """Hold which mechanisms are in use; all of them keep what is promised when off.
+    """Enabled mechanisms; a router keeps all guarantees with any of them disabled.
 
-    :param affinity: work prefers targets that keep parts of its prompt.
-    :param copies: targets copy kept parts from each other.
-    :param tell_prefixes: routers tell each other which parts targets read.
-    :param pauses: long prompts keep away from targets where answers would pause.
-    :param ejection: targets that fail or are slow lose work.
+    :param affinity: requests prefer targets that have parts of their prompt cached.
+    :param copies: targets copy cached prefixes from each other.
+    :param tell_prefixes: routers notify each other of the prefixes that targets read.
+    :param pauses: long prompts avoid targets where they would stall running answers.
+    :param ejection: targets that fail or are slow get less work.
     :param loans: routers lend each other tokens of prepaid budgets.
-    :param loans_ahead: they borrow before they need it.
-    :param witnesses: other routers know what each may have used when it died.
+    :param loans_ahead: routers borrow tokens before they need them.
+    :param witnesses: other routers record what a router may have used, for the case
+        that it dies.
     """
 
     affinity: bool = True
@@ -37,6 +38,6 @@
 
 
 def read_mechanisms(reader: SettingsReader) -> Mechanisms:
-    """Read the section ``[mechanisms]``; what it does not name is in use."""
+    """Read the section ``[mechanisms]``; mechanisms that it omits are enabled."""
     names = [field.name for field in attrs.fields(Mechanisms)]
     return Mechanisms(**{name: reader.flag(_SECTION, name, True) for name in names})
--- a/src/endivegw/settings/model.py
+++ b/src/endivegw/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of each daemon as data."""
+"""Data classes for the settings of each daemon."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 ]
 
 
-#: 10 GB a second, which loads a model of 100 GB in 80 s where 8 load at once.
+#: 10 GB/s, at which a model of 100 GB loads in 80 s while 8 engines load at once.
 DEFAULT_WEIGHT_BYTES_PER_S = 10e9
 DEFAULT_WEIGHT_LOADS_AT_ONCE = 8
 
 
 @frozen
 class ProcessSettings:
-    """Say where a process runs; it learns this from nowhere else.
+    """Where a process runs; the settings are its only source of this.
 
     :param vm: the platform's id of the machine.
-    :param drain_bound_s: how long a planned stop waits for work in progress.
+    :param availability_zone: zone of the machine.
+    :param drain_bound_s: maximum time that a planned stop waits for work in progress.
     """
 
     vm: str
@@ -43,14 +44,18 @@
 
 @frozen
 class PeerSettings:
-    """Say how the fleet's processes reach and know each other.
+    """How the processes of the fleet reach and authenticate each other.
 
-    :param listen: the address on which this process takes its peers' calls.
-    :param address: where peers reach it, which is told to them; the same
-        address, unless the process listens on all of its machine's.
+    :param listen: address on which this process accepts calls of its peers.
+    :param address: address that is announced to peers; differs from ``listen`` if
+        the process listens on all addresses of its machine.
     :param router_port: port of every router's peer address.
     :param sidecar_port: port of every sidecar's peer address.
-    :param plain: whether calls go without authentication.
+    :param plain: whether calls are allowed without authentication.
+    :param tls_ca: certificates of the authorities that sign peers' certificates.
+    :param tls_certificate: certificate of this process.
+    :param tls_key: private key of this process.
+    :param shared_key_file: file with the key that authenticates calls of peers.
     """
 
     listen: Address
@@ -66,11 +71,19 @@
 
 @frozen
 class PlatformSettings:
-    """Name the platform's services.
-
-    :param fleet_daemons: about how many daemons share the services' rates.
-    :param weight_bytes_per_s: what the weight store gives to the whole fleet.
-    :param weight_loads_at_once: how many engines load at the same time.
+    """Services of the platform.
+
+    :param table_url: URL of the table service.
+    :param object_store_url: URL of the object store.
+    :param vm_list_url: URL of the list of VMs.
+    :param weight_store_url: URL of the store of model weights; empty if unused.
+    :param access_key_id: id of the key that signs calls; empty if unused.
+    :param secret_key_file: file with the secret of that key.
+    :param timeout_s: time limit of one call.
+    :param fleet_daemons: approximate number of daemons that share the services'
+        rate limits.
+    :param weight_bytes_per_s: throughput of the weight store for the whole fleet.
+    :param weight_loads_at_once: maximum number of engines that load concurrently.
     """
 
     table_url: str
@@ -87,7 +100,7 @@
 
 @frozen
 class LogSettings:
-    """Say what is logged and where metrics go."""
+    """Log level, and address of the statsd server; None disables metrics."""
 
     level: str
     statsd: Address | None
@@ -95,10 +108,15 @@
 
 @frozen
 class HttpLimits:
-    """Bound what one caller may send.
+    """Limits for a caller's request.
+
+    The size limits keep a router within 64 MB: a body is held in memory until the
+    request is answered, so that a repeatable request can be retried.
 
-    The bounds keep a router within 64 MB: a body is held in memory until the
-    request has an answer, so that a repeatable request can be sent again.
+    :param max_body_bytes: maximum size of a request body.
+    :param max_header_bytes: maximum size of the request headers.
+    :param default_deadline_s: deadline of requests that do not set one.
+    :param max_deadline_s: maximum deadline that a request may set.
     """
 
     max_body_bytes: int
@@ -109,12 +127,12 @@
 
 @frozen
 class RecoverySettings:
-    """Say when a router's grants are taken from it.
+    """When the grants of an unresponsive router are recovered.
 
     :param silence_s: how long a listed router may leave heartbeats unanswered.
-        Shorter returns a dead router's tokens sooner; a router that was merely
-        paused for longer draws anew, and its work is refused meanwhile.
-    :param turn_s: how often one of the routers looks for dead ones.
+        A shorter time returns a dead router's tokens sooner; a router that was only
+        paused for longer has to draw again, and its requests are refused meanwhile.
+    :param turn_s: interval at which one of the routers checks for dead routers.
     """
 
     silence_s: float = 30.0
@@ -123,7 +141,7 @@
 
 @frozen
 class RouterSettings:
-    """Hold all settings of a router."""
+    """All settings of a router."""
 
     process: ProcessSettings
     listen: Address
@@ -136,10 +154,15 @@
 
 @frozen
 class TargetSettings:
-    """Say what stands beside a sidecar.
-
-    :param serves: names of the plain services that stand there; an engine
-        tells itself which models it serves.
+    """The target beside a sidecar.
+
+    :param target: name of the target.
+    :param kind: whether the target is an engine or a plain service.
+    :param url: URL of the target.
+    :param serves: names of the plain services that the target provides; an engine
+        reports its models itself.
+    :param checks_fence: whether the target itself refuses orders with an old fence.
+    :param max_running: maximum number of requests that run concurrently.
     """
 
     target: TargetName
@@ -152,7 +175,7 @@
 
 @frozen
 class SidecarSettings:
-    """Hold all settings of a sidecar."""
+    """All settings of a sidecar."""
 
     process: ProcessSettings
     target: TargetSettings
--- a/src/endivegw/settings/reader.py
+++ b/src/endivegw/settings/reader.py
@@ -1,4 +1,4 @@
-"""Typed reading of one INI file, with errors that name file, section and key."""
+"""Typed access to an INI file, with errors that name file, section and key."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 T = TypeVar("T")
 
-_YES = frozenset({"yes", "true", "on", "1"})
-_NO = frozenset({"no", "false", "off", "0"})
+_TRUE_WORDS = frozenset({"yes", "true", "on", "1"})
+_FALSE_WORDS = frozenset({"no", "false", "off", "0"})
 _MAX_PORT = 65535
 
 
 @frozen
 class Address:
-    """Hold an IP address and a TCP or UDP port.
+    """An IP address and a TCP or UDP port.
 
-    Names are not taken: the processes find each other by address, so that a
-    name service that is away stops nothing.
+    Host names are not accepted: the processes find each other by address, so that
+    an unavailable name service does not affect them.
     """
 
     ip: str
@@ -37,15 +37,16 @@
 
 
 class SettingsReader:
-    """Read values from an INI file and remember which keys were asked for.
+    """Read values from an INI file and record which keys were read.
 
-    :param path: the file; :exc:`SettingsError` where it cannot be read.
+    :param path: path of the file.
+    :raises SettingsError: if the file cannot be read or parsed.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
         self._parser = configparser.ConfigParser(interpolation=None)
-        self._asked: set[tuple[str, str]] = set()
+        self._read_keys: set[tuple[str, str]] = set()
         try:
             with path.open(encoding="utf-8") as file:
                 self._parser.read_file(file)
@@ -56,8 +57,8 @@
             raise SettingsError(f"{path}: not a valid INI file: {line}") from error
 
     def text(self, section: str, key: str, default: str | None = None) -> str:
-        """Return a value as it stands; required where there is no default."""
-        self._asked.add((section, key))
+        """Return a value as text; the key is required if there is no default."""
+        self._read_keys.add((section, key))
         value = self._parser.get(section, key, fallback=None)
         if value is None or value == "":
             if default is None:
@@ -71,37 +72,37 @@
         key: str,
         default: float,
         *,
-        least: float = 0.0,
-        most: float = float("inf"),
+        minimum: float = 0.0,
+        maximum: float = float("inf"),
     ) -> float:
-        """Return a number within bounds; the key's suffix is its unit."""
-        return self._parsed(section, key, default, float, least, most)
+        """Return a number within bounds; the suffix of the key is its unit."""
+        return self._parsed(section, key, default, float, minimum, maximum)
 
-    def whole(
+    def integer(
         self,
         section: str,
         key: str,
         default: int,
         *,
-        least: int = 0,
-        most: int = 2**62,
+        minimum: int = 0,
+        maximum: int = 2**62,
     ) -> int:
-        """Return a whole number within bounds; the key's suffix is its unit."""
-        return self._parsed(section, key, default, int, least, most)
+        """Return an integer within bounds; the suffix of the key is its unit."""
+        return self._parsed(section, key, default, int, minimum, maximum)
 
     def flag(self, section: str, key: str, default: bool) -> bool:
-        """Return yes or no."""
+        """Return a boolean, written as yes or no."""
         word = self.text(section, key, "yes" if default else "no").lower()
-        if word in _YES:
+        if word in _TRUE_WORDS:
             return True
-        if word in _NO:
+        if word in _FALSE_WORDS:
             return False
         self._fail(section, key, f"expected yes or no, not {word!r}")
 
     def address(
         self, section: str, key: str, default: Address | None = None
     ) -> Address:
-        """Return an ``IP:PORT``; an IPv6 address stands in brackets."""
+        """Return an ``IP:PORT``; an IPv6 address is written in brackets."""
         text = self.text(section, key, None if default is None else str(default))
         host, colon, port = text.rpartition(":")
         try:
@@ -114,13 +115,13 @@
         return Address(ip, number)
 
     def optional_address(self, section: str, key: str) -> Address | None:
-        """Return an address, or None where the key is absent."""
+        """Return an address, or None if the key is absent."""
         if not self.text(section, key, ""):
             return None
         return self.address(section, key)
 
     def url(self, section: str, key: str, default: str | None = None) -> str:
-        """Return an http or https URL without a trailing slash."""
+        """Return an http or https URL without trailing slashes."""
         text = self.text(section, key, default)
         if text and not text.startswith(("http://", "https://")):
             self._fail(section, key, f"expected an http or https URL, not {text!r}")
@@ -129,27 +130,27 @@
     def choice(
         self, section: str, key: str, names: tuple[str, ...], default: str
     ) -> str:
-        """Return one of a few words."""
+        """Return a value that is one of ``names``."""
         word = self.text(section, key, default)
         if word not in names:
             self._fail(section, key, f"expected one of {', '.join(names)}: {word!r}")
         return word
 
     def file(self, section: str, key: str) -> pathlib.Path | None:
-        """Return the path of a file that can be read, None where absent."""
+        """Return the path of an existing file, or None if the key is absent."""
         text = self.text(section, key, "")
         if not text:
             return None
         path = pathlib.Path(text)
         if not path.is_file():
-            self._fail(section, key, f"there is no file {text!r}")
+            self._fail(section, key, f"file {text!r} does not exist")
         return path
 
-    def end(self) -> None:
-        """Refuse keys that nothing asked for: most of them are misspelt."""
+    def reject_unknown_keys(self) -> None:
+        """Refuse keys that were never read; most of them are misspelt."""
         for section in self._parser.sections():
             for key in self._parser[section]:
-                if (section, key) not in self._asked:
+                if (section, key) not in self._read_keys:
                     self._fail(section, key, "is not a known setting")
 
     def _parsed(
@@ -158,8 +159,8 @@
         key: str,
         default: T,
         parse: Callable[[str], T],
-        least: T,
-        most: T,
+        minimum: T,
+        maximum: T,
     ) -> T:
         text = self.text(section, key, str(default))
         try:
@@ -167,15 +168,15 @@
         except ValueError:
             unit = _UNITS.get(key.rpartition("_")[2], "a number")
             self._fail(section, key, f"expected {unit} without a unit, not {text!r}")
-        if not least <= value <= most:  # type: ignore[operator]
-            self._fail(section, key, f"expected {least} to {most}, not {text}")
+        if not minimum <= value <= maximum:  # type: ignore[operator]
+            self._fail(section, key, f"expected {minimum} to {maximum}, not {text}")
         return value
 
     def _fail(self, section: str, key: str, problem: str) -> NoReturn:
         raise SettingsError(f"{self.path}: [{section}] {key}: {problem}")
 
 
-#: What the last part of a key says of its value, for error messages.
+#: Descriptions of values by the suffix of the key, for error messages.
 _UNITS = {
     "s": "a number of seconds",
     "ms": "a number of milliseconds",
--- a/src/endivegw/telemetry/bounded.py
+++ b/src/endivegw/telemetry/bounded.py
@@ -1,8 +1,8 @@
-"""Write log lines without ever waiting for whoever reads them.
+"""Log lines that are written without blocking on their reader.
 
-A pipe that nobody reads fills up, and the next write to it would hold the whole
-process, with every request in it. Lines therefore wait in a bounded buffer, and
-what does not fit is left out and counted.
+Once a pipe that nobody reads is full, the next blocking write to it would stop the
+process and all requests in it. Lines are therefore queued in a bounded buffer, and
+lines that do not fit are dropped and counted.
 """
 
 from __future__ import annotations
@@ -16,66 +16,70 @@
 
 from endivegw.telemetry.log import format_line
 
-__all__ = ["BoundedLines", "bounded_handler"]
+__all__ = ["BoundedLineBuffer", "bounded_handler"]
 
-#: Lines that wait at most: some 3 MB, and seconds of a router in an overload.
-_MOST_LINES = 10_000
+#: Maximum number of queued lines: about 3 MB, which an overloaded router writes
+#: within seconds.
+_MAX_LINES = 10_000
 
-#: Of these, how many ordinary lines may fill; the rest is kept for warnings and
-#: errors, which explain a failure.
-_MOST_ORDINARY = 7_000
+#: Number of queued lines from which on lines below warning level are dropped. The
+#: rest of the buffer is reserved for warnings and errors, which explain a failure.
+_MAX_ORDINARY_LINES = 7_000
 
-#: How often what waits is written. A process that is killed loses this much.
+#: Interval between two flushes. A process that is killed loses the lines of one.
 _FLUSH_S = 0.05
 
-#: Bytes of one write; a pipe takes 64 KiB.
+#: Size from which on no further line is added to a write; a pipe holds 64 KiB.
 _CHUNK_BYTES = 65_536
 
 
-class BoundedLines:
-    """Hold lines until the descriptor takes them.
+class BoundedLineBuffer:
+    """Queue lines until the descriptor accepts them.
 
     :param write: writes some of the bytes and returns how many; raises
-        :exc:`BlockingIOError` where it would have to wait.
+        :exc:`BlockingIOError` if it would block.
     """
 
     def __init__(self, write: Callable[[bytes], int]) -> None:
         self._write = write
         self._lines: deque[bytes] = deque()
-        self._rest = b""
-        self.left_out = 0
+        self._unsent = b""
+        self.dropped = 0
 
     def add(self, line: str, important: bool) -> None:
-        """Take a line, or leave it out where too many wait."""
-        most = _MOST_LINES if important else _MOST_ORDINARY
-        if len(self._lines) >= most:
-            self.left_out += 1
+        """Queue a line, or drop and count it if the buffer is full.
+
+        :param important: whether the line may use the reserved part of the buffer.
+        """
+        max_lines = _MAX_LINES if important else _MAX_ORDINARY_LINES
+        if len(self._lines) >= max_lines:
+            self.dropped += 1
             return
         self._lines.append(line.encode() + b"\n")
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
-        while self._rest or self._lines:
-            if not self._rest:
+        """Write as much as the descriptor accepts without blocking."""
+        while self._unsent or self._lines:
+            if not self._unsent:
                 parts = []
                 size_bytes = 0
                 while self._lines and size_bytes < _CHUNK_BYTES:
                     parts.append(self._lines.popleft())
                     size_bytes += len(parts[-1])
-                self._rest = b"".join(parts)
+                self._unsent = b"".join(parts)
             try:
-                written = self._write(self._rest)
+                written = self._write(self._unsent)
             except BlockingIOError:
                 return
-            self._rest = self._rest[written:]
+            self._unsent = self._unsent[written:]
 
     async def run(self) -> None:
-        """Flush at intervals until cancelled."""
+        """Flush at a fixed interval until cancelled."""
         try:
             while True:
                 await anyio.sleep(_FLUSH_S)
-                if self.left_out:
-                    count, self.left_out = self.left_out, 0
+                if self.dropped:
+                    count, self.dropped = self.dropped, 0
                     self.add(f'{{"event":9130,"left_out":{count}}}', True)
                 self.flush()
         finally:
@@ -84,10 +88,13 @@
 
 def bounded_handler(
     descriptor: int, level: int
-) -> tuple[logbook.Handler, BoundedLines]:
-    """Return a handler for a descriptor, and the lines to be flushed."""
+) -> tuple[logbook.Handler, BoundedLineBuffer]:
+    """Return a log handler for a descriptor, and the buffer that it fills.
+
+    The caller has to run or flush the buffer. The descriptor becomes non-blocking.
+    """
     os.set_blocking(descriptor, False)
-    lines = BoundedLines(lambda data: os.write(descriptor, data))
+    lines = BoundedLineBuffer(lambda data: os.write(descriptor, data))
 
     class _Handler(logbook.Handler):  # type: ignore[misc]
         def emit(self, record: logbook.LogRecord) -> None:
--- a/src/endivegw/telemetry/catalogue/__init__.py
+++ b/src/endivegw/telemetry/catalogue/__init__.py
@@ -1,8 +1,8 @@
-"""All numbered events, one module per part, each with its own thousand.
+"""All numbered events, one module per component.
 
-1000 router, 2000 sidecar, 3000 budgets, 4000 configuration, 5000 membership
-and orders, 6000 platform, 7000 operators, 8000 daemons,
-9000 allowances, 9100 relay, 9200 quarantine.
+The first number of each range: 1000 router, 2000 sidecar, 3000 budgets,
+4000 configuration, 5000 membership and orders, 6000 platform, 7000 operators,
+8000 daemons, 9000 allowances, 9100 relay, 9200 quarantine.
 """
 
 from endivegw.telemetry.catalogue import (
@@ -36,7 +36,7 @@
     quarantine,
 )
 
-#: Every event of the product, by number.
+#: All events, sorted by number.
 ALL_EVENTS: tuple[Event, ...] = tuple(
     sorted(
         (
--- a/src/endivegw/telemetry/catalogue/allowances.py
+++ b/src/endivegw/telemetry/catalogue/allowances.py
@@ -1,17 +1,17 @@
-"""Events of the part named allowances, 9000 to 9099."""
+"""Events of token allowances, 9000 to 9099."""
 
 from endivegw.telemetry.event import Event, Level
 
 __all__ = [
     "ROW_SETTLED",
     "ROW_UNREADABLE",
-    "STORE_AWAY",
-    "STORE_BACK",
+    "STORE_RECOVERED",
+    "STORE_UNAVAILABLE",
     "TOKENS_BORROWED",
     "TOKENS_DRAWN",
+    "TOKENS_INHERITED",
     "TOKENS_LENT",
     "TOKENS_REFUSED",
-    "TOKENS_SUCCEEDED",
     "TOKENS_TAKEN_OVER",
 ]
 
@@ -22,7 +22,7 @@
     "A router drew tokens from budgets or gave some back.",
     ("totals", "revision"),
 )
-TOKENS_SUCCEEDED = Event(
+TOKENS_INHERITED = Event(
     9002,
     "tokens-succeeded",
     Level.INFO,
@@ -80,14 +80,14 @@
     "This router debited tokens for a peer that asked.",
     ("client_account", "tokens", "least", "peer"),
 )
-STORE_AWAY = Event(
+STORE_UNAVAILABLE = Event(
     9007,
     "store-away",
     Level.WARNING,
     "The store does not answer; the router lives on what it holds.",
     ("reason",),
 )
-STORE_BACK = Event(
+STORE_RECOVERED = Event(
     9008, "store-back", Level.INFO, "The store answers again.", ("away_s",)
 )
 ROW_UNREADABLE = Event(
--- a/src/endivegw/telemetry/catalogue/budgets.py
+++ b/src/endivegw/telemetry/catalogue/budgets.py
@@ -1,16 +1,16 @@
-"""Events of the part named budgets, 3000 to 3999."""
+"""Events of prepaid budgets, 3000 to 3999."""
 
 from endivegw.telemetry.event import Event, Level
 
 __all__ = [
     "BUDGET_REFUSED",
-    "BUDGET_TABLE_AWAY",
-    "BUDGET_TABLE_BACK",
+    "BUDGET_TABLE_RECOVERED",
+    "BUDGET_TABLE_UNAVAILABLE",
     "CHECKPOINT_WRITTEN",
     "GRANTS_COMMITTED",
     "GRANT_DRAWN",
     "GRANT_RECOVERED",
-    "GRANT_SEALED_HERE",
+    "GRANT_SEALED_LOCALLY",
     "HOLDER_FENCED",
     "RECOVERY_STARTED",
     "TOKENS_BORROWED",
@@ -38,14 +38,14 @@
     "A request got no tokens; it did not run.",
     ("budget", "reason", "bound_tokens", "waited_s", "figures"),
 )
-BUDGET_TABLE_AWAY = Event(
+BUDGET_TABLE_UNAVAILABLE = Event(
     3004,
     "budget-table-away",
     Level.WARNING,
     "The table does not answer; routers spend what they have in hand.",
     ("operation_id",),
 )
-BUDGET_TABLE_BACK = Event(
+BUDGET_TABLE_RECOVERED = Event(
     3005,
     "budget-table-back",
     Level.INFO,
@@ -59,7 +59,7 @@
     "Recovery took this router's grants over while it was paused or cut off.",
     ("holder", "grants", "tokens_dropped"),
 )
-GRANT_SEALED_HERE = Event(
+GRANT_SEALED_LOCALLY = Event(
     3007,
     "grant-sealed-here",
     Level.INFO,
--- a/src/endivegw/telemetry/catalogue/configuration.py
+++ b/src/endivegw/telemetry/catalogue/configuration.py
@@ -1,4 +1,4 @@
-"""Events of the part named configuration, 4000 to 4999."""
+"""Events of the configuration's distribution, 4000 to 4999."""
 
 from endivegw.telemetry.event import Event, Level
 
--- a/src/endivegw/telemetry/catalogue/daemons.py
+++ b/src/endivegw/telemetry/catalogue/daemons.py
@@ -1,4 +1,4 @@
-"""Events of every daemon's life, 8000 to 8999."""
+"""Events of the life cycle of daemons, 8000 to 8999."""
 
 from endivegw.telemetry.event import Event, Level
 
--- a/src/endivegw/telemetry/catalogue/membership.py
+++ b/src/endivegw/telemetry/catalogue/membership.py
@@ -4,12 +4,12 @@
 
 __all__ = [
     "INSTANCE_REPLACED",
-    "LIST_UNREAD",
     "ORDER_ENDED",
     "ORDER_REPAIRED",
     "ORDER_SENT",
     "ORDER_WINDOW_MISSED",
     "PEER_CHANGED",
+    "VM_LIST_UNREADABLE",
 ]
 
 PEER_CHANGED = Event(
@@ -26,7 +26,7 @@
     "Another process answers under a peer's address; what the former kept is lost.",
     ("vm", "former", "present"),
 )
-LIST_UNREAD = Event(
+VM_LIST_UNREADABLE = Event(
     5003,
     "vm-list-unread",
     Level.WARNING,
--- a/src/endivegw/telemetry/catalogue/operators.py
+++ b/src/endivegw/telemetry/catalogue/operators.py
@@ -1,3 +1,3 @@
-"""Events of the part named operators, 7000 to 7999."""
+"""Events of operators' commands, 7000 to 7999; none so far."""
 
 __all__: list[str] = []
--- a/src/endivegw/telemetry/catalogue/platform.py
+++ b/src/endivegw/telemetry/catalogue/platform.py
@@ -1,4 +1,4 @@
-"""Events of the part named platform, 6000 to 6999."""
+"""Events of calls to the platform's services, 6000 to 6999."""
 
 from endivegw.telemetry.event import Event, Level
 
--- a/src/endivegw/telemetry/catalogue/quarantine.py
+++ b/src/endivegw/telemetry/catalogue/quarantine.py
@@ -1,4 +1,4 @@
-"""Events of the part named quarantine, 9200 to 9299."""
+"""Events of the quarantine of requests, 9200 to 9299."""
 
 from endivegw.telemetry.event import Event, Level
 
--- a/src/endivegw/telemetry/catalogue/relay.py
+++ b/src/endivegw/telemetry/catalogue/relay.py
@@ -1,16 +1,16 @@
-"""Events of the part named relay, 9100 to 9199."""
+"""Events of routers that call targets themselves, 9100 to 9199."""
 
 from endivegw.telemetry.event import Event, Level
 
 __all__ = [
     "ATTEMPT_FAILED",
-    "CONNECTION_FAILED",
     "CONFIGURATION_IN_FORCE",
     "CONFIGURATION_UNREADABLE",
-    "DRAINING_BEGUN",
+    "CONNECTION_FAILED",
+    "DRAINING_STARTED",
     "FEED_LOST",
-    "FEED_REGAINED",
-    "LINES_LEFT_OUT",
+    "FEED_RECOVERED",
+    "LINES_DROPPED",
     "PROCESS_STARTED",
     "PROCESS_STOPPED",
     "REQUEST_ENDED",
@@ -18,8 +18,8 @@
     "REQUEST_REFUSED",
     "SETTINGS_READ",
     "TARGET_CHANGED",
-    "TARGET_ENDED",
-    "TARGET_SAID",
+    "TARGET_REPORTED",
+    "TARGET_TERMINATED",
 ]
 
 REQUEST_REFUSED = Event(
@@ -99,14 +99,14 @@
     "The router believes something else of a target.",
     ("target", "service", "address", "change", "revision", "source", "age_s"),
 )
-TARGET_ENDED = Event(
+TARGET_TERMINATED = Event(
     9115,
     "relay-target-ended",
     Level.WARNING,
     "A target ended, and broke the requests that this router had there.",
     ("target", "started_ms", "source", "lost", "fingerprints"),
 )
-TARGET_SAID = Event(
+TARGET_REPORTED = Event(
     9116,
     "relay-target-said",
     Level.INFO,
@@ -120,7 +120,7 @@
     "The feed of a table does not answer.",
     ("table", "reason"),
 )
-FEED_REGAINED = Event(
+FEED_RECOVERED = Event(
     9114,
     "relay-feed-regained",
     Level.INFO,
@@ -134,7 +134,7 @@
     "The process serves.",
     ("vm", "instance", "address"),
 )
-DRAINING_BEGUN = Event(
+DRAINING_STARTED = Event(
     9121,
     "relay-draining",
     Level.INFO,
@@ -162,7 +162,7 @@
     "A fault of the program ended one caller's connection.",
     ("detail",),
 )
-LINES_LEFT_OUT = Event(
+LINES_DROPPED = Event(
     9130,
     "log-lines-left-out",
     Level.WARNING,
--- a/src/endivegw/telemetry/catalogue/router.py
+++ b/src/endivegw/telemetry/catalogue/router.py
@@ -1,14 +1,14 @@
-"""Events of the router, 1000 to 1999."""
+"""Events of routers that call targets through sidecars, 1000 to 1999."""
 
 from endivegw.telemetry.event import Event, Level
 
 __all__ = [
-    "ROUTER_RECOVERED",
     "ATTEMPT_RESOLVED",
     "REQUEST_ENDED",
     "REQUEST_PLACED",
     "REQUEST_REFUSED",
     "REQUEST_RETRIED",
+    "ROUTER_RECOVERED",
 ]
 
 REQUEST_PLACED = Event(
--- a/src/endivegw/telemetry/catalogue/sidecar.py
+++ b/src/endivegw/telemetry/catalogue/sidecar.py
@@ -1,10 +1,10 @@
-"""Events of the part named sidecar, 2000 to 2999."""
+"""Events of sidecars, 2000 to 2999."""
 
 from endivegw.telemetry.event import Event, Level
 
 __all__ = [
-    "ATTEMPT_BROKE",
     "ATTEMPT_CANCELLED",
+    "ATTEMPT_CRASHED",
     "ATTEMPT_ENDED",
     "ATTEMPT_JOINED",
     "ATTEMPT_REFUSED",
@@ -13,9 +13,9 @@
     "DRAIN_ENDED",
     "DRAIN_STARTED",
     "GRANTS_SEALED",
+    "SLOT_ACQUIRED",
     "SLOT_LOST",
     "SLOT_RELEASED",
-    "SLOT_TAKEN",
 ]
 
 ATTEMPT_STARTED = Event(
@@ -53,7 +53,7 @@
     "A router asked for the end of an attempt.",
     ("attempt_id", "answer"),
 )
-ATTEMPT_BROKE = Event(
+ATTEMPT_CRASHED = Event(
     2006,
     "attempt-broke",
     Level.ERROR,
@@ -88,7 +88,7 @@
     "The owner of a key slot decided on a claim.",
     ("slot", "attempt_id", "answer"),
 )
-SLOT_TAKEN = Event(
+SLOT_ACQUIRED = Event(
     2021,
     "slot-taken",
     Level.INFO,
--- a/src/endivegw/telemetry/event.py
+++ b/src/endivegw/telemetry/event.py
@@ -1,4 +1,4 @@
-"""The shape of a numbered log event."""
+"""Definition of a numbered log event."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Level(enum.Enum):
-    """How much an operator should care."""
+    """Severity of an event."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -20,12 +20,12 @@
 
 @frozen
 class Event:
-    """Describe one kind of log line.
+    """Definition of one kind of log line.
 
-    :param number: stable for good; never used for another meaning.
-    :param name: short, in kebab case.
+    :param number: identifies the event; never reused for another meaning.
+    :param name: short name in kebab case.
     :param meaning: one sentence for the catalogue in docs/EVENTS.md.
-    :param fields: names of the fields that each line carries.
+    :param fields: names of the fields that a line may have.
     """
 
     number: int
--- a/src/endivegw/telemetry/exposition.py
+++ b/src/endivegw/telemetry/exposition.py
@@ -1,7 +1,7 @@
-"""Counters and histograms of a direct router, in the text exposition format.
+"""Metrics of a direct router in the Prometheus text exposition format.
 
-Label values come from fixed sets of the program (kinds of route, outcomes, reasons),
-never from requests, so that the page stays bounded.
+Label values come from sets that the code defines (kinds of route, outcomes, reasons)
+and never from requests, which bounds the number of time series.
 """
 
 from __future__ import annotations
@@ -19,45 +19,48 @@
 
 __all__ = ["RouterMetrics"]
 
-#: Upper bounds in seconds: from a cached chat's first token to the longest deadlines.
-_SPANS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
+#: Upper bounds of the histogram buckets, from the first token of a cached chat to
+#: the longest deadlines.
+_BUCKETS_S = (0.005, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 5.0, 15.0)
 
 _KIB = 1024
 
 
 class RouterMetrics:
-    """Count what one router does; each has its own registry."""
+    """Record the metrics of one router in a registry of its own."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
-        self._ended = Counter(
+        self._ended_requests = Counter(
             "endivegw_requests",
             "Admitted requests that ended.",
             ("kind", "outcome"),
             registry=self._registry,
         )
-        self._refused = Counter(
+        self._refused_requests = Counter(
             "endivegw_requests_refused",
             "Requests that the configuration in force does not allow.",
             ("reason",),
             registry=self._registry,
         )
-        self._first = self._histogram("first_byte", "Time to an answer's first part.")
-        self._whole = self._histogram("request", "Time to a request's end.")
-        self._queued = Histogram(
+        self._first_byte = self._histogram(
+            "first_byte", "Time to an answer's first part."
+        )
+        self._request_duration = self._histogram("request", "Time to a request's end.")
+        self._queue_time = Histogram(
             "endivegw_queue_seconds",
             "Time in the router's own queue.",
-            buckets=_SPANS_S,
+            buckets=_BUCKETS_S,
             registry=self._registry,
         )
-        self._store = Histogram(
+        self._store_calls = Histogram(
             "endivegw_store_call_seconds",
             "Calls to the store; watches wait for changes.",
             ("call", "outcome"),
-            buckets=_SPANS_S,
+            buckets=_BUCKETS_S,
             registry=self._registry,
         )
-        self._again = Counter(
+        self._retries = Counter(
             "endivegw_sends_beyond_first",
             "Sends to a second target and further ones, which the retry budget bounds.",
             registry=self._registry,
@@ -65,37 +68,43 @@
         self.gauge("resident_bytes", "Largest resident memory so far.", _resident_bytes)
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when the page is asked for."""
+        """Add a gauge whose value is read whenever the metrics are requested.
+
+        :param text: the description in the exposition.
+        """
         gauge = Gauge(f"endivegw_{name}", text, registry=self._registry)
         gauge.set_function(read)
 
     def refused(self, reason: str) -> None:
         """Count a request that was not admitted."""
-        self._refused.labels(reason).inc()
+        self._refused_requests.labels(reason).inc()
 
-    def queued(self, span_s: float) -> None:
-        """Record how long a request waited here."""
-        self._queued.observe(span_s)
+    def queued(self, waited_s: float) -> None:
+        """Record how long a request waited in the queue of this router."""
+        self._queue_time.observe(waited_s)
 
     def ended(
         self, kind: str, outcome: str, first_s: float | None, took_s: float
     ) -> None:
-        """Count an admitted request that ended."""
-        self._ended.labels(kind, outcome).inc()
-        self._whole.labels(kind).observe(took_s)
+        """Count an admitted request that ended, and record its durations.
+
+        :param first_s: time to the first part of the answer; None without an answer.
+        """
+        self._ended_requests.labels(kind, outcome).inc()
+        self._request_duration.labels(kind).observe(took_s)
         if first_s is not None:
-            self._first.labels(kind).observe(first_s)
+            self._first_byte.labels(kind).observe(first_s)
 
-    def sent_again(self) -> None:
-        """Count a send beyond a request's first."""
-        self._again.inc()
+    def record_retry(self) -> None:
+        """Count a send of a request after its first one."""
+        self._retries.inc()
 
     def store_call(self, call: str, outcome: str, took_s: float) -> None:
-        """Record one call to the store."""
-        self._store.labels(call, outcome).observe(took_s)
+        """Record the outcome and the duration of one call to the store."""
+        self._store_calls.labels(call, outcome).observe(took_s)
 
     def page(self) -> bytes:
-        """Return the page."""
+        """Return all metrics in the text exposition format."""
         return generate_latest(self._registry)
 
     def _histogram(self, name: str, text: str) -> Histogram:
@@ -103,7 +112,7 @@
             f"endivegw_{name}_seconds",
             text,
             ("kind",),
-            buckets=_SPANS_S,
+            buckets=_BUCKETS_S,
             registry=self._registry,
         )
 
--- a/src/endivegw/telemetry/log.py
+++ b/src/endivegw/telemetry/log.py
@@ -1,4 +1,4 @@
-"""Structured log lines: one JSON object per event."""
+"""Structured logging: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def format_line(record: logbook.LogRecord, handler: logbook.Handler) -> str:
-    """Return a record as one line of JSON."""
+    """Format a record as one line of JSON."""
     line = {
         "time": datetime.now(timezone.utc).isoformat(timespec="milliseconds"),
         "level": record.level_name.lower(),
@@ -38,8 +38,8 @@
 ) -> logbook.Handler:
     """Return a handler that writes each record as one line of JSON.
 
-    :param stream: standard error where none is given, so that standard output
-        stays free for a command's result.
+    :param stream: defaults to standard error, because standard output is for the
+        result of a command.
     """
     handler = logbook.StreamHandler(stream or sys.stderr, level=_LEVELS[level])
     handler.formatter = format_line
@@ -47,10 +47,10 @@
 
 
 class EventLog:
-    """Write numbered events of one part of one process.
+    """Write the numbered events of one component of a process.
 
-    :param part: the part's name, such as ``router``.
-    :param common: fields that every line of this process carries.
+    :param part: name of the component, such as ``router``.
+    :param common: fields that are added to every line.
     """
 
     def __init__(self, part: str, **common: object) -> None:
@@ -58,7 +58,11 @@
         self._common = common
 
     def emit(self, event: Event, **fields: object) -> None:
-        """Write one line; unknown fields are a mistake of the programmer."""
+        """Write one line.
+
+        :raises ValueError: if the event does not define one of the fields, which is
+            a programming error.
+        """
         unknown = set(fields) - set(event.fields)
         if unknown:
             raise ValueError(f"event {event.number} has no fields {sorted(unknown)}")
--- a/src/endivegw/telemetry/losses.py
+++ b/src/endivegw/telemetry/losses.py
@@ -1,4 +1,4 @@
-"""What callers of routers lost, by cause, from the routers' log lines."""
+"""Lost and late requests by cause, computed from the log lines of routers."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 from attrs import define, field, frozen
 
-from endivegw.telemetry.story import LogLine
+from endivegw.telemetry.request_trace import LogLine
 
-__all__ = ["Aims", "Loss", "Losses", "WindowEnds", "losses_of"]
+__all__ = ["LatencyThresholds", "Loss", "Losses", "WindowCounts", "count_losses"]
 
 _TOKENS_REFUSED = 9004
 _REQUEST_ENDED = 9104
@@ -16,19 +16,19 @@
 _ANSWERED = "answered"
 _CALLER_LEFT = "caller-left"
 
-#: Outcomes whose cause a line on the account's tokens tells.
-_FOR_TOKENS = frozenset({"insufficient_quota", "budget_unavailable"})
+#: Outcomes whose cause is in the event TOKENS_REFUSED of the same request.
+_TOKEN_REFUSALS = frozenset({"insufficient_quota", "budget_unavailable"})
 
-#: Outcomes by which the caller knows that nothing ran and may come back.
-_REFUSED = _FOR_TOKENS | {"overloaded", "no_target", "not_ready"}
+#: Outcomes that tell the caller that the request did not run and may be retried.
+_REFUSALS = _TOKEN_REFUSALS | {"overloaded", "no_target", "not_ready"}
 
 
 @frozen
-class Aims:
-    """Say from when on an answer is late; None where that is not asked.
+class LatencyThresholds:
+    """Thresholds above which an answer counts as late; None disables a threshold.
 
-    :param first_s: until its first part, from the request's arrival.
-    :param pause_s: between two parts of a stream.
+    :param first_s: time from the arrival of the request to the first part.
+    :param pause_s: time between two parts of a stream.
     """
 
     first_s: float | None = None
@@ -37,9 +37,9 @@
 
 @frozen
 class Loss:
-    """Hold the requests that one cause cost.
+    """Number of requests of a service that were lost or late for one cause.
 
-    :param tokens: the most that they could have used.
+    :param tokens: upper bound of the tokens that the requests would have used.
     """
 
     service: str
@@ -49,8 +49,8 @@
 
 
 @define
-class WindowEnds:
-    """Count how the requests that ended in one span of time fared."""
+class WindowCounts:
+    """Numbers of requests that ended in one time window, by result."""
 
     served: int = 0
     late: int = 0
@@ -60,115 +60,127 @@
 
 @frozen
 class Losses:
-    """Hold what was lost by cause, and how requests fared over time.
+    """Losses by cause, and results of requests by time window.
 
-    :param windows: by the time at which each begins.
+    :param windows: by the start time of the window.
     """
 
     causes: tuple[Loss, ...]
-    windows: Mapping[str, WindowEnds]
+    windows: Mapping[str, WindowCounts]
 
 
 @define
-class _Ended:
+class _LossSums:
     requests: int = 0
     tokens: int = 0
 
 
 @define
-class _Count:
-    """Add up lines; a line on tokens comes before the end that it explains."""
+class _LossCounter:
+    """Accumulate log lines.
 
-    aims: Aims
+    The line of a token refusal precedes the line of the end of the same request.
+    """
+
+    thresholds: LatencyThresholds
     window_s: float
-    short: dict[str, Mapping[str, Any]] = field(factory=dict)
-    causes: dict[tuple[str, str], _Ended] = field(factory=dict)
-    windows: dict[str, WindowEnds] = field(factory=dict)
+    refusals: dict[str, Mapping[str, Any]] = field(factory=dict)
+    causes: dict[tuple[str, str], _LossSums] = field(factory=dict)
+    windows: dict[str, WindowCounts] = field(factory=dict)
 
-    def take(self, line: LogLine) -> None:
-        """Take one line."""
+    def add(self, line: LogLine) -> None:
+        """Add one line; lines of other events are ignored."""
         request_id = str(line.fields.get("request_id"))
         if line.event == _TOKENS_REFUSED:
-            self.short[request_id] = line.fields
+            self.refusals[request_id] = line.fields
         elif line.event == _REQUEST_ENDED:
-            self._end(line, self.short.pop(request_id, {}))
+            self._add_ended(line, self.refusals.pop(request_id, {}))
 
-    def _end(self, line: LogLine, short: Mapping[str, Any]) -> None:
+    def _add_ended(self, line: LogLine, refusal: Mapping[str, Any]) -> None:
         outcome = str(line.fields.get("outcome"))
         if outcome == _CALLER_LEFT:
             return
-        window = self.windows.setdefault(_begin(line, self.window_s), WindowEnds())
-        cause = _cause(line.fields, short, self.aims)
+        window = self.windows.setdefault(
+            _window_start(line, self.window_s), WindowCounts()
+        )
+        cause = _cause(line.fields, refusal, self.thresholds)
         if not cause:
             window.served += 1
             return
         if outcome == _ANSWERED:
             window.late += 1
-        elif outcome in _REFUSED:
+        elif outcome in _REFUSALS:
             window.refused += 1
         else:
             window.failed += 1
         key = str(line.fields.get("service") or ""), cause
-        ended = self.causes.setdefault(key, _Ended())
-        ended.requests += 1
-        tokens = short.get("tokens") or line.fields.get("reserved_tokens")
-        ended.tokens += int(tokens or 0)
+        sums = self.causes.setdefault(key, _LossSums())
+        sums.requests += 1
+        tokens = refusal.get("tokens") or line.fields.get("reserved_tokens")
+        sums.tokens += int(tokens or 0)
 
 
-def losses_of(lines: Iterable[LogLine], window_s: float, aims: Aims) -> Losses:
-    """Return what was lost, the dearest cause first.
+def count_losses(
+    lines: Iterable[LogLine], window_s: float, thresholds: LatencyThresholds
+) -> Losses:
+    """Count lost and late requests; the cause of the most requests comes first.
 
-    :param lines: of any number of routers, each router's in order.
+    :param lines: lines of any number of routers, those of each router in order.
     """
-    count = _Count(aims, window_s)
+    counter = _LossCounter(thresholds, window_s)
     for line in lines:
-        count.take(line)
+        counter.add(line)
     causes = [
-        Loss(service, cause, ended.requests, ended.tokens)
-        for (service, cause), ended in count.causes.items()
+        Loss(service, cause, sums.requests, sums.tokens)
+        for (service, cause), sums in counter.causes.items()
     ]
     causes.sort(key=lambda loss: (-loss.requests, loss.service, loss.cause))
-    return Losses(tuple(causes), dict(sorted(count.windows.items())))
+    return Losses(tuple(causes), dict(sorted(counter.windows.items())))
 
 
-def _begin(line: LogLine, window_s: float) -> str:
-    """Return the time at which a line's window begins."""
-    begin_s = line.at_s // window_s * window_s
-    minutes, seconds_s = divmod(begin_s, 60.0)
+def _window_start(line: LogLine, window_s: float) -> str:
+    """Return the start time of the window that a line falls into."""
+    start_s = line.at_s // window_s * window_s
+    minutes, seconds_s = divmod(start_s, 60.0)
     return f"{int(minutes) // 60:02}:{int(minutes) % 60:02}:{seconds_s:04.1f}"
 
 
-def _cause(found: Mapping[str, Any], short: Mapping[str, Any], aims: Aims) -> str:
-    """Return why a request is lost or late, "" where it is neither."""
-    outcome = str(found.get("outcome"))
+def _cause(
+    fields: Mapping[str, Any], refusal: Mapping[str, Any], thresholds: LatencyThresholds
+) -> str:
+    """Return why a request was lost or late, or "" if it was served in time."""
+    outcome = str(fields.get("outcome"))
     if outcome == _ANSWERED:
-        return _lateness(found, aims)
-    if outcome in _FOR_TOKENS and short:
-        return _shortage(short)
+        return _lateness_cause(fields, thresholds)
+    if outcome in _TOKEN_REFUSALS and refusal:
+        return _shortage_cause(refusal)
     return outcome
 
 
-def _lateness(found: Mapping[str, Any], aims: Aims) -> str:
-    if aims.first_s is not None and float(found.get("first_s") or 0.0) > aims.first_s:
+def _lateness_cause(fields: Mapping[str, Any], thresholds: LatencyThresholds) -> str:
+    if (
+        thresholds.first_s is not None
+        and float(fields.get("first_s") or 0.0) > thresholds.first_s
+    ):
         return "late: first part"
-    pause_s = float(found.get("longest_gap_s") or 0.0)
-    if aims.pause_s is not None and pause_s > aims.pause_s:
+    pause_s = float(fields.get("longest_gap_s") or 0.0)
+    if thresholds.pause_s is not None and pause_s > thresholds.pause_s:
         return "late: pause"
     return ""
 
 
-def _shortage(short: Mapping[str, Any]) -> str:
-    """Return where the tokens were that a router did not get, by its own account."""
-    if short.get("exhausted"):
+def _shortage_cause(refusal: Mapping[str, Any]) -> str:
+    """Return where the missing tokens were, according to the router's figures."""
+    if refusal.get("exhausted"):
         return "tokens: the budget is spent"
-    if short.get("shortage") != "tokens":
+    if refusal.get("shortage") != "tokens":
         return "tokens: held, the limit does not cover them yet"
-    lacking = int(short["tokens"]) - int(short["hand_tokens"])
-    asked = "in vain" if float(short["waited_s"]) > 0 else "nobody asked"
-    if lacking <= int(short["left_tokens"]):
-        return f"tokens: in the store, {asked}"
-    if lacking <= int(short["spare_tokens"]):
-        return f"tokens: at peers, {asked}"
-    if int(short["left_tokens"]) or int(short["spare_tokens"]):
-        return f"tokens: too few known elsewhere, {asked}"
-    return f"tokens: none known elsewhere, {asked}"
+    missing_tokens = int(refusal["tokens"]) - int(refusal["hand_tokens"])
+    request_note = "in vain" if float(refusal["waited_s"]) > 0 else "nobody asked"
+    if missing_tokens <= int(refusal["left_tokens"]):
+        return f"tokens: in the store, {request_note}"
+    if missing_tokens <= int(refusal["spare_tokens"]):
+        return f"tokens: at peers, {request_note}"
+    if int(refusal["left_tokens"]) or int(refusal["spare_tokens"]):
+        return f"tokens: too few known elsewhere, {request_note}"
+    return f"tokens: none known elsewhere, {request_note}"
--- a/src/endivegw/telemetry/metrics.py
+++ b/src/endivegw/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timers, sent to a statsd server where the settings name one."""
+"""Counters, timers and gauges, sent to a statsd server if one is configured."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Metrics(Protocol):
-    """What the daemons count with; names are dotted, below the role."""
+    """Interface of a metrics client; metric names are dotted, relative to the role."""
 
     def incr(self, name: str, count: int = 1) -> None:
         """Add to a counter."""
@@ -23,19 +23,19 @@
 
 
 class NoMetrics:
-    """Count nothing, where the settings name no server."""
+    """Discard all metrics, for settings without a statsd server."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Do nothing."""
+        """Discard the value."""
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Do nothing."""
+        """Discard the value."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Do nothing."""
+        """Discard the value."""
 
 
 def statsd_metrics(host: str, port: int, prefix: str) -> Metrics:
-    """Return a client that sends datagrams and never waits for an answer."""
+    """Return a statsd client, which sends datagrams and never waits for a response."""
     client: Metrics = statsd.StatsClient(host=host, port=port, prefix=prefix)
     return client
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -7,7 +7,7 @@
 from hypothesis import given, seed, settings, strategies as st
 
 from endivegw.commands.changes import Operation
-from endivegw.commands.template import create_template, edit_template, see_template
+from endivegw.commands.template import create_template, edit_template, load_template
 from endivegw.configuration.documents import EMPTY_DOCUMENTS, apply_change
 from endivegw.configuration.parameters import Parameters
 from endivegw.configuration.store import load_changes, load_documents
@@ -71,7 +71,7 @@
             for count in range(EDITS):
                 operation = Operation(f"{name}-{count}", name, 1000.0)
                 template = source.choice(["a", "b"])
-                seen = await see_template(table, operation, template)
+                seen = await load_template(table, operation, template)
                 parameters = Parameters(weight=source.uniform(1, 9))
                 if isinstance(seen, Done):
                     result = await edit_template(
--- a/tests/test_configuration_store.py
+++ b/tests/test_configuration_store.py
@@ -6,7 +6,7 @@
 
 from endivegw.commands.account import (
     create_account,
-    hash_of_key,
+    hash_key,
     rotate_key,
     set_account,
 )
@@ -16,7 +16,7 @@
     create_template,
     delete_template,
     edit_template,
-    see_template,
+    load_template,
 )
 from endivegw.configuration import TargetKind, TargetParameters
 from endivegw.configuration.parameters import Parameters
@@ -83,7 +83,7 @@
                 template="kiosk",
                 parameters=Parameters(weight=5.0),
             )
-            seen = (await see_template(self.table, self.operation(), "kiosk")).value
+            seen = (await load_template(self.table, self.operation(), "kiosk")).value
             newer = Parameters(priority=Priority.BATCH, weight=3.0)
             await edit_template(self.table, self.operation(), seen, newer)
 
@@ -104,9 +104,9 @@
 
         first, second, third = anyio.run(run)
         snapshot = self.snapshot()
-        self.assertIsNone(snapshot.find_account_by_key_hash(hash_of_key(first)))
+        self.assertIsNone(snapshot.find_account_by_key_hash(hash_key(first)))
         for key in (second, third):
-            account = snapshot.find_account_by_key_hash(hash_of_key(key))
+            account = snapshot.find_account_by_key_hash(hash_key(key))
             self.assertEqual(account.client_account, "lobby")
         self.assertNotIn(first, repr(self.table.__dict__))
 
@@ -118,7 +118,7 @@
 
         async def run():
             await create_template(self.table, self.operation(), "kiosk", Parameters())
-            ana = (await see_template(self.table, self.operation(), "kiosk")).value
+            ana = (await load_template(self.table, self.operation(), "kiosk")).value
             await edit_template(
                 self.table, self.operation("ben"), ana, Parameters(weight=2.0)
             )
@@ -138,8 +138,8 @@
         async def run():
             await create_template(self.table, self.operation(), "a", Parameters())
             await create_template(self.table, self.operation(), "b", Parameters())
-            seen_a = (await see_template(self.table, self.operation(), "a")).value
-            seen_b = (await see_template(self.table, self.operation(), "b")).value
+            seen_a = (await load_template(self.table, self.operation(), "a")).value
+            seen_b = (await load_template(self.table, self.operation(), "b")).value
             one = await edit_template(
                 self.table, self.operation(), seen_a, Parameters(weight=2.0)
             )
@@ -187,7 +187,7 @@
         self.assertEqual(created.value.outcome.change.revision, 1)
         snapshot = self.snapshot()
         self.assertEqual(snapshot.revision, 1)
-        account = snapshot.find_account_by_key_hash(hash_of_key(created.value.key))
+        account = snapshot.find_account_by_key_hash(hash_key(created.value.key))
         self.assertEqual(account.client_account, "lobby")
 
     def test_abandoned_write_that_arrives_later_has_no_effect(self):
--- a/tests/test_logs_story.py
+++ b/tests/test_logs_story.py
@@ -1,4 +1,4 @@
-"""``endivegw explain`` and ``logs summary``: from a request's id to its cause."""
+"""``endivegw explain`` and ``logs summary``: traces and outcomes of requests."""
 
 from __future__ import annotations
 
@@ -8,19 +8,23 @@
 from click.testing import CliRunner
 
 from endivegw.cli import main
-from endivegw.telemetry.story import read_lines, story_of, totals
+from endivegw.telemetry.request_trace import (
+    count_outcomes,
+    read_log_lines,
+    trace_request,
+)
 
 
 def line(second: float, event: int, **fields: object) -> str:
-    """Return a line as a router writes it, behind a prefix as collectors add one."""
+    """Return a log line of a router, with a prefix as log collectors add it."""
     at = f"2026-01-29T21:58:{second:06.3f}+00:00"
     document = {"time": at, "event": event, "vm": "front-1", "message": "m", **fields}
     return "front-1 " + json.dumps(document) + "\n"
 
 
 def ended(second: float, request_id: str, outcome: str, **more: object) -> str:
-    """Return the line that ends a request."""
-    found = {
+    """Return the line for the end of a request."""
+    fields = {
         "client_account": "hotel",
         "target": "",
         "sends": 0,
@@ -31,11 +35,11 @@
         "charged_tokens": 0,
         "cut": False,
     }
-    found.update(more)
-    return line(second, 9104, request_id=request_id, outcome=outcome, **found)
+    fields.update(more)
+    return line(second, 9104, request_id=request_id, outcome=outcome, **fields)
 
 
-REFUSED_FOR_MONEY = [
+TOKENS_REFUSED = [
     line(2.0, 9007, reason="timeout"),
     line(
         2.5,
@@ -55,7 +59,7 @@
     ended(2.6, "r-1", "budget_unavailable"),
 ]
 
-CUT = [
+TRUNCATED = [
     line(
         3.0,
         9102,
@@ -80,7 +84,7 @@
     ended(3.4, "r-2", "answer_lost", target="e-1", sends=1, events=3, cut=True),
 ]
 
-LATE = [
+PAUSED = [
     ended(
         5.0,
         "r-3",
@@ -98,55 +102,55 @@
 
 
 class ExplainTests(unittest.TestCase):
-    """Find the cause of three kinds of failed request, from log lines alone."""
+    """The causes of three kinds of failures are found from log lines alone."""
 
     def explain(self, request_id: str, *arguments: str, code: int = 0) -> str:
-        """Run the command on all lines at once, out of order."""
-        text = "".join(LATE + CUT + NOISE + REFUSED_FOR_MONEY)
+        """Run the command on all lines, which are not in order of time."""
+        text = "".join(PAUSED + TRUNCATED + NOISE + TOKENS_REFUSED)
         result = CliRunner().invoke(main, ["explain", request_id, *arguments], text)
         self.assertEqual(result.exit_code, code, result.output)
         return result.output
 
-    def test_refused_for_money(self) -> None:
-        """The store was away, and the peers' tokens did not come in time.
+    def test_refused_for_lack_of_tokens(self) -> None:
+        """The store was unavailable, and peers' tokens did not arrive in time.
 
-        The caller was refused although its budget had some left.
+        The caller was refused although its budget had tokens left.
         """
-        told = self.explain("r-1")
-        self.assertIn("The store does not answer (timeout)", told)
-        cause = told.splitlines()[-1]
+        output = self.explain("r-1")
+        self.assertIn("The store does not answer (timeout)", output)
+        cause = output.splitlines()[-1]
         self.assertIn("could not be reached in time", cause)
         self.assertIn("1667 tokens were needed", cause)
-        self.assertNotIn("Borrowed 5", told)
+        self.assertNotIn("Borrowed 5", output)
 
-    def test_cut_in_the_middle(self) -> None:
-        """A target's connection ended within the answer."""
+    def test_truncated_answer(self) -> None:
+        """The connection to the target ended during the answer."""
         cause = self.explain("r-2").splitlines()[-1]
         self.assertIn("the connection ended; 3 events", cause)
 
     def test_answered_late(self) -> None:
-        """A long prompt beside it made an answer pause."""
+        """An answer paused because its target processed another, long prompt."""
         cause = self.explain("r-3").splitlines()[-1]
         self.assertIn("longest pause was 0.346 s", cause)
 
-    def test_a_router_that_died_says_so(self) -> None:
-        """A router is killed with the request in progress; no line ends it."""
-        story = story_of("r-2", read_lines(CUT[:1]))
-        self.assertIn("its router ended", story.cause)
+    def test_request_without_end_is_attributed_to_its_router(self) -> None:
+        """A router was killed during the request, so that no line shows its end."""
+        trace = trace_request("r-2", read_log_lines(TRUNCATED[:1]))
+        self.assertIn("its router ended", trace.cause)
 
-    def test_json_and_an_unknown_id(self) -> None:
-        """Programs read JSON; an id that no line bears is an error."""
-        story = json.loads(self.explain("r-2", "--output", "json"))
-        found = [step["event"] for step in story["steps"]]
-        self.assertEqual(found, [9007, 9102, 9103, 9104])
+    def test_json_output_and_unknown_id(self) -> None:
+        """JSON output lists the steps; an id that no line has is an error."""
+        trace = json.loads(self.explain("r-2", "--output", "json"))
+        events = [step["event"] for step in trace["steps"]]
+        self.assertEqual(events, [9007, 9102, 9103, 9104])
         self.assertIn("no line bears", self.explain("nobody", code=1))
 
     def test_summary_counts_by_reason_and_window(self) -> None:
-        """An operator sees when refusals began."""
-        lines = REFUSED_FOR_MONEY + CUT + LATE + [ended(31.0, "r-4", "answered")]
-        found = totals(read_lines(lines), 10.0)
-        self.assertEqual(found.outcomes["answered"], 2)
-        self.assertEqual(found.windows["2026-01-29T21:58:30"], {"answered": 1})
+        """Windows show when refusals started."""
+        lines = TOKENS_REFUSED + TRUNCATED + PAUSED + [ended(31.0, "r-4", "answered")]
+        counts = count_outcomes(read_log_lines(lines), 10.0)
+        self.assertEqual(counts.outcomes["answered"], 2)
+        self.assertEqual(counts.windows["2026-01-29T21:58:30"], {"answered": 1})
         result = CliRunner().invoke(main, ["logs", "summary"], "".join(lines))
         self.assertIn("budget_unavailable", result.output)
 
--- a/tests/test_operator_commands.py
+++ b/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Operators' commands, from the command line to the stand-in's rows."""
+"""Operators' commands, run against a stand-in for the platform."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from endivegw.cli import main
-from endivegw.commands.account import create_account, hash_of_key
+from endivegw.commands.account import create_account, hash_key
 from endivegw.commands.changes import Operation
 from endivegw.configuration.reports import AdoptionReport, write_report
 from endivegw.services import ListedVm, VmState
@@ -54,7 +54,7 @@
         return json.loads(self.run_command(*arguments, "--output", "json").stdout)
 
     def test_account_is_created_from_a_template_and_topped_up(self):
-        """The whole way of an operator with a new client account."""
+        """A new client account gets its parameters, its key and its budget."""
         file = self.directory / "kiosk.ini"
         file.write_text(TEMPLATE)
         self.run_command("template", "create", "kiosk", "--file", str(file))
@@ -72,7 +72,7 @@
         )
         self.assertNotIn(key, self.run_command("account", "show", "lobby").output)
         stored = repr(self.platform.table.page("config-account", "", None, 10))
-        self.assertIn(hash_of_key(key), stored)
+        self.assertIn(hash_key(key), stored)
         self.run_command("budget", "topup", "lobby", "main", "5000")
         (budget,) = self.json("budget", "list", "--account", "lobby")
         self.assertEqual((budget["topped_up"], budget["available"]), (5000, 5000))
@@ -80,8 +80,8 @@
         self.assertEqual([line["revision"] for line in history], [2, 1])
         self.assertEqual(history[0]["operator"], "ana")
 
-    def test_mistakes_in_a_file_are_named_by_line_and_key(self):
-        """Every mistake is shown at once, and nothing is accepted."""
+    def test_errors_in_a_file_name_line_and_key(self):
+        """All errors of a file are reported at once, and nothing is written."""
         text = "[template]\nweight = heavy\npriority = urgent\nmodel = m\n"
         result = self.run_command(
             "template", "create", "kiosk", "--file", "-", code=2, stdin=text
@@ -92,8 +92,8 @@
 
     def test_file_made_from_an_older_version_is_refused(self):
         """
-        An operator shows a template, edits the file over lunch, and applies
-        it after a colleague's edit. The colleague's edit must not vanish.
+        An operator edits a file made by "template show" and applies it after another
+        operator changed the template. The other operator's change must not be lost.
         """
         self.run_command("template", "create", "kiosk", "weight=1")
         shown = self.run_command("template", "show", "kiosk").stdout
@@ -119,8 +119,8 @@
 
     def test_top_up_with_a_lost_answer_adds_once(self):
         """
-        The answer to a top-up is lost. The command finds out by its id, and
-        running it again under the same id adds nothing.
+        The response to a top-up is lost. The command determines the outcome by the
+        operation id, and another run with the same id adds nothing.
         """
         self.run_command("account", "create", "lobby")
         self.platform.faults.table.lost_answer_share = 1.0
@@ -133,20 +133,20 @@
         self.assertEqual(budget["topped_up"], 700)
 
     def test_top_up_of_a_misspelt_budget_is_refused(self):
-        """Tokens under a wrong name could be spent by nobody."""
+        """No request could spend tokens that are added under a wrong name."""
         self.run_command("account", "create", "lobby", "budgets=main, spare")
         self.run_command("budget", "topup", "lobby", "mian", "700", code=2)
         self.run_command("budget", "topup", "loby", "main", "700", code=2)
         self.assertEqual(self.json("budget", "list"), [])
 
-    def test_table_that_is_away_ends_a_command_with_a_message(self):
-        """An operator sees that nothing was changed, and no traceback."""
+    def test_unavailable_table_is_reported_without_traceback(self):
+        """The command reports that nothing was changed, and prints no traceback."""
         self.platform.faults.table.outage = True
         result = self.run_command("target", "drain", "t1", code=1)
         self.assertIn("nothing was changed: unreachable", result.output)
 
     def test_target_is_drained_resumed_and_stopped(self):
-        """The state of a target shows in the list."""
+        """The list shows the state of a target."""
         self.run_command("target", "set", "t1", "--serves", "planner")
         for verb, state in (
             ("drain", "drained"),
@@ -160,8 +160,8 @@
 
     def test_wait_names_the_daemons_that_lack_the_revision(self):
         """
-        One sidecar has not taken the change in, and one listed VM is silent.
-        Both are named; when they follow, the command ends well.
+        One daemon has not adopted the change, and one listed VM has no report. The
+        command names both, and succeeds once both have reported the revision.
         """
         self.run_command("template", "create", "kiosk")
         self.platform.vms[:] = [
@@ -178,8 +178,8 @@
         self.assertIn("revision 1 is held by all 3 daemons", result.output)
         self.assertEqual(self.json("status")["lagging"], [])
 
-    def report(self, heard):
-        report = AdoptionReport("vm-1", 1, time.time(), heard)
+    def report(self, revisions):
+        report = AdoptionReport("vm-1", 1, time.time(), revisions)
 
         async def write():
             await write_report(self.platform.table, report, timeout_s=1)
@@ -194,7 +194,7 @@
             )
 
     def test_export_and_import_carry_the_configuration_over(self):
-        """An export, taken in by an empty table, gives the same configuration."""
+        """Importing an export into an empty table gives the same configuration."""
         self.run_command("template", "create", "kiosk", "weight=2")
         self.portal.call(self.create_accounts, 45)
         file = str(self.directory / "all")
@@ -213,14 +213,14 @@
         self.run_command("config", "import", file, "--prune")
         self.assertEqual(self.json("account", "list"), before)
 
-    def test_order_is_given_once_and_listed(self):
-        """An order that is given again under its id stands in the list once."""
-        give = ("order", "give", "engine-1", "load-model", "badge-2")
+    def test_repeated_order_is_listed_once(self):
+        """An order that is repeated with the same id is listed once."""
+        order = ("order", "give", "engine-1", "load-model", "badge-2")
         version = ("--model-version", "7", "--operation-id", "op-1")
-        self.run_command(*give, "--dry-run")
+        self.run_command(*order, "--dry-run")
         self.assertEqual(self.json("order", "list", "engine-1"), [])
-        self.run_command(*give, *version)
-        self.run_command(*give, *version)
+        self.run_command(*order, *version)
+        self.run_command(*order, *version)
         (listed,) = self.json("order", "list", "engine-1")
         self.assertEqual(
             (listed["order"], listed["name"], listed["version"], listed["state"]),
--- a/tests/test_operators_and_fleet.py
+++ b/tests/test_operators_and_fleet.py
@@ -1,4 +1,4 @@
-"""Operators' commands against a whole fleet on loopback."""
+"""Operators' commands, run against a complete fleet on loopback."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 
 
 class RunningFleet:
-    """Run a fleet in a task until told to end."""
+    """Run a fleet in a task until :meth:`end` is called."""
 
     def __init__(self):
         self.fleet = DevFleet(log_level="error")
@@ -62,16 +62,16 @@
         daemons += [running.sidecar for running in self.fleet.sidecars]
         return {daemon._parts.configuration.revision for daemon in daemons}
 
-    def until(self, condition, limit_s):
+    def wait_until(self, condition, limit_s):
         end_s = time.monotonic() + limit_s
         while not condition():
             self.assertLess(time.monotonic(), end_s)
             time.sleep(0.05)
 
-    def test_change_is_waited_for_and_a_stopped_target_ends(self):
+    def test_wait_for_change_and_stop_of_a_target(self):
         """
-        An operator changes a template and waits until all have it, then stops
-        a target: its sidecar takes no new work and ends by itself.
+        "config wait" returns once all daemons have a change. The sidecar of a target
+        that is stopped accepts no new work and exits by itself.
         """
         self.run_command("template", "create", "extra", "weight=2")
         waited = self.run_command("config", "wait", "--for-s", "30")
@@ -85,21 +85,21 @@
         name = stopped.target.name
         self.run_command("target", "set", name)
         self.run_command("target", "stop", name)
-        self.until(lambda: stopped.sidecar.stopped, 20.0)
+        self.wait_until(lambda: stopped.sidecar.stopped, 20.0)
 
     def test_change_reaches_daemons_that_lost_the_table(self):
         """
-        All but one router lose the table and the object store. A change that is
-        accepted meanwhile reaches them over their peers, within seconds.
+        All daemons but one router are isolated from the table and the object store.
+        A change that is accepted meanwhile reaches them through peers within seconds.
         """
-        kept = self.fleet.routers[0].router._parts.configuration
-        cut_off = [running.router for running in self.fleet.routers[1:]]
-        cut_off += [running.sidecar for running in self.fleet.sidecars]
+        connected = self.fleet.routers[0].router._parts.configuration
+        isolated = [running.router for running in self.fleet.routers[1:]]
+        isolated += [running.sidecar for running in self.fleet.sidecars]
         faults = self.fleet.platform.faults
-        for daemon in cut_off:
+        for daemon in isolated:
             faults.table.cut_off.add(daemon._parts.instance_id)
             faults.objects.cut_off.add(daemon._parts.instance_id)
         self.run_command("template", "create", "extra", "weight=2")
         newest = self.fleet.platform.table.get(REVISION_KEY).fields["revision"]
-        self.until(lambda: self.revisions() == {newest}, 15.0)
-        self.assertEqual(kept.revision, newest)
+        self.wait_until(lambda: self.revisions() == {newest}, 15.0)
+        self.assertEqual(connected.revision, newest)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked before a daemon starts; errors name file, section, key."""
+"""Validation of settings; errors name file, section and key."""
 
 import pathlib
 import tempfile
@@ -45,49 +45,53 @@
             self.assertIn(part, message)
 
     def test_complete_file_loads(self):
-        """A complete file gives typed values and the documented defaults."""
+        """A complete file loads as typed values with the documented defaults."""
         settings = self.load(ROUTER)
         self.assertEqual(str(settings.listen), "127.0.0.1:8080")
         self.assertEqual(settings.process.drain_bound_s, 600.0)
         self.assertIs(settings.peers.plain, True)
 
     def test_misspelt_key_is_named(self):
-        """A key that nothing reads is refused rather than ignored."""
+        """An unknown key is refused rather than ignored."""
         text = ROUTER.replace("vm = entry-1", "vm = entry-1\ndrain_bounds = 3")
         self.assert_problem(text, "[process] drain_bounds", "not a known setting")
 
     def test_value_with_unit_is_refused(self):
-        """A duration with a unit is refused with the unit that is expected."""
+        """A duration with a unit is refused; the error names the expected unit."""
         text = ROUTER.replace("vm = entry-1", "vm = entry-1\ndrain_bound_s = 10min")
         self.assert_problem(text, "[process] drain_bound_s", "seconds", "10min")
 
     def test_host_name_is_not_an_address(self):
-        """Addresses are IP numbers; a name is refused."""
+        """Addresses are IP addresses; a host name is refused."""
         text = ROUTER.replace("listen = 127.0.0.1:8080", "listen = entry:8080")
         self.assert_problem(text, "[http] listen", "IP:PORT")
 
     def test_missing_key_is_named(self):
-        """A required key that is absent is named with its section."""
+        """The error for a missing required key names the key and its section."""
         self.assert_problem(
             ROUTER.replace("availability_zone = Erie", ""),
             "[process] availability_zone",
             "missing",
         )
 
-    def test_unauthenticated_peers_must_be_asked_for(self):
-        """Without TLS, a shared key or an explicit word no daemon starts."""
+    def test_unauthenticated_peers_require_an_explicit_setting(self):
+        """Without TLS files, a shared key or ``plain = yes``, no daemon starts."""
         self.assert_problem(ROUTER.replace("plain = yes", ""), "[peers] plain")
 
-    def test_address_for_peers_must_be_one_that_they_can_reach(self):
-        """A process that listens everywhere must say where peers find it; they
-        would otherwise send claims and heartbeats to themselves."""
+    def test_unspecified_peer_address_is_refused(self):
+        """A process that listens on all addresses needs an explicit peer address.
+
+        Peers that were given 0.0.0.0 would send claims and heartbeats to themselves.
+        """
         text = ROUTER.replace("listen = 127.0.0.1:7401", "listen = 0.0.0.0:7401")
         self.assert_problem(text, "[peers] address")
-        told = text.replace("plain = yes", "plain = yes\naddress = 10.0.0.7:7401")
-        self.assertEqual(str(self.load(told).peers.address), "10.0.0.7:7401")
+        with_address = text.replace(
+            "plain = yes", "plain = yes\naddress = 10.0.0.7:7401"
+        )
+        self.assertEqual(str(self.load(with_address).peers.address), "10.0.0.7:7401")
 
-    def test_sidecar_names_its_target(self):
-        """A sidecar's file without a target is refused."""
+    def test_sidecar_without_a_target_is_refused(self):
+        """The settings of a sidecar must name its target."""
         self.path.write_text(ROUTER)
         with self.assertRaises(SettingsError) as caught:
             load_sidecar_settings(self.path)
@@ -108,7 +112,7 @@
 
 
 class MechanismTests(unittest.TestCase):
-    """Switch single mechanisms off, to measure what they are worth."""
+    """Single mechanisms can be disabled, to measure their effect."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -119,14 +123,14 @@
         self.path.write_text(DIRECT + section)
         return load_direct_router_settings(self.path)
 
-    def test_all_are_in_use_unless_switched_off(self):
-        """A file that names none uses all; one that names one loses just that."""
+    def test_mechanisms_are_enabled_by_default(self):
+        """All are enabled by default; disabling one leaves the others enabled."""
         self.assertEqual(self.load("").mechanisms, Mechanisms())
         found = self.load("[mechanisms]\ncopies = no\n").mechanisms
         self.assertEqual(found, Mechanisms(copies=False))
 
-    def test_bad_switches_are_named_in_one_line(self):
-        """A misspelt switch would else leave its mechanism on, unnoticed."""
+    def test_invalid_switches_are_refused_in_one_line(self):
+        """A misspelt switch would otherwise leave its mechanism enabled."""
         for section, part in (
             ("[mechanisms]\ncopys = no\n", "[mechanisms] copys: is not a known"),
             ("[mechanisms]\ncopies = off-ish\n", "[mechanisms] copies: expected yes"),
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Events keep their numbers, and a line carries the event's fields."""
+"""Numbered events, their catalogue page and the format of log lines."""
 
 import io
 import json
@@ -18,11 +18,11 @@
         self.assertEqual(len({e.name for e in ALL_EVENTS}), len(ALL_EVENTS))
 
     def test_page_lists_every_event(self):
-        """The page of events says what the code says."""
+        """docs/EVENTS.md matches the catalogue in the code."""
         self.assertEqual(PAGE.read_text(), page_text(), "run: make docs")
 
     def test_line_is_json_with_number_and_fields(self):
-        """A line is one JSON object that names the event and its fields."""
+        """A line is one JSON object with the event's number and fields."""
         stream = io.StringIO()
         with json_line_handler(stream=stream).applicationbound():
             log = EventLog("router", instance_id="r1")
@@ -33,6 +33,6 @@
         self.assertEqual(line["instance_id"], "r1")
 
     def test_unknown_field_is_an_error(self):
-        """A field that the catalogue does not list cannot slip into a line."""
+        """A field that the event does not define is rejected."""
         with self.assertRaises(ValueError):
             EventLog("router").emit(REQUEST_REFUSED, colour="red")
