--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -20,7 +20,7 @@
 import logbook
 from attrs import frozen
 
-from endivegw.daemons.claim_slot import KeptSlot
+from endivegw.daemons.claim_slot import OwnedSlot
 from endivegw.requests.claims import (
     Claim,
     ClaimLimits,
@@ -218,8 +218,8 @@
         table = FaultyTable(memory, TableFaults(latency_s=0.005), rng, tasks)
         slot = Slot(0, TargetName("t"), InstanceId("i"), "vm", "a", 1, False, 0)
         owner = SlotOwner(0, ClaimLimits(), last_heartbeat_s=clock())
-        kept = KeptSlot(slot, owner, SlotHeartbeat(0, 0, 0), table, clock, clock)
-        tasks.start_soon(kept.keep)
+        kept = OwnedSlot(slot, owner, SlotHeartbeat(0, 0, 0), table, clock, clock)
+        tasks.start_soon(kept.maintain)
         await anyio.sleep(1.0)
         began_s, before = clock(), memory.writes
 
--- a/src/endivegw/composition/direct_router.py
+++ b/src/endivegw/composition/direct_router.py
@@ -141,10 +141,10 @@
     )
     _add_gauges(metrics, context)
     targets = TargetReader(context, decoder, clock, log)
-    context.on_replaced = targets.replaced
+    context.on_replaced = targets.on_replaced
 
     def on_leaving(start: TargetStart, source: str) -> None:
-        if targets.leaving(start, source):
+        if targets.on_leaving(start, source):
             link.broadcast(TargetLeaving(start))
 
     context.on_leaving = on_leaving
--- a/src/endivegw/composition/sidecar.py
+++ b/src/endivegw/composition/sidecar.py
@@ -8,7 +8,7 @@
 from endivegw.budgets.gate import GrantGate
 from endivegw.composition.process import Process, metrics_of, open_process
 from endivegw.configuration import TargetKind
-from endivegw.daemons.claim_desk import DeskSettings, SlotDesk
+from endivegw.daemons.claim_desk import SlotClaimService, SlotClaimSettings
 from endivegw.daemons.peer_directory import TARGET_ROLE
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.daemons.sidecar_configuration import SidecarConfiguration
@@ -91,15 +91,15 @@
     )
 
 
-def _slot_desk(settings: SidecarSettings, process: Process) -> SlotDesk:
-    desk = DeskSettings(
+def _slot_desk(settings: SidecarSettings, process: Process) -> SlotClaimService:
+    desk = SlotClaimSettings(
         vm=settings.process.vm,
         target=settings.target.target,
         instance_id=process.identity.instance_id,
         address=str(settings.peers.address),
     )
     platform = process.platform
-    return SlotDesk(
+    return SlotClaimService(
         desk, platform.table, platform.vms, process.clock, time.time, process.log
     )
 
--- a/src/endivegw/daemons/claim_client.py
+++ b/src/endivegw/daemons/claim_client.py
@@ -1,10 +1,10 @@
-"""A router's calls to the owners of key slots."""
+"""Client through which a router sends claims to the owners of key slots."""
 
 from __future__ import annotations
 
 from typing import Callable
 
-from endivegw.daemons.claim_messages import answer_of, request_of
+from endivegw.daemons.claim_messages import decode_answer, encode_request
 from endivegw.daemons.slot_map_reader import SlotMapReader
 from endivegw.exceptions import PeerError
 from endivegw.peers import SidecarClient
@@ -16,19 +16,22 @@
 
 __all__ = ["ClaimClient"]
 
-#: Longer than an owner lets a claim wait for its row, so that a slow table ends
-#: in the owner's word and not in a broken call.
+#: Longer than an owner lets a claim wait for its row, so that a slow table leads
+#: to an answer from the owner and not to a call that timed out.
 _TIMEOUT_S = 3.0
 
-#: The same for a repeatable request, which does not need the owner's word: a
-#: slow owner must not make the answer late.
+#: Timeout for repeatable requests. They do not depend on the owner's answer, so
+#: a slow owner must not delay them.
 _HINT_TIMEOUT_S = 0.1
 
 
 class ClaimClient:
-    """Ask the owner of a request's slot, wherever it is.
+    """Send claims to the sidecar that owns a request's slot.
 
+    :param maps: supplies the current slot map.
     :param connect: opens a connection to the sidecar at ``host:port``.
+    :param header: returns the header of this process for each message.
+    :param slots: number of key slots in the fleet.
     """
 
     def __init__(
@@ -47,23 +50,23 @@
     async def claim(
         self, identity: RequestIdentity, proposal: ClaimProposal
     ) -> ClaimAnswer | None:
-        """Return the owner's word, None where there is none for now."""
+        """Return the owner's answer, None if no owner is known or reachable."""
         owner = self._maps.current.owner(slot_of(identity, self._slots))
         if owner is None:
-            self._maps.want()
+            self._maps.request_refresh()
             return None
         client = self._client(owner)
         timeout_s = _HINT_TIMEOUT_S if proposal.repeatable else _TIMEOUT_S
         try:
-            request = request_of(identity, proposal, self._header())
+            request = encode_request(identity, proposal, self._header())
             reply = await client.claim(request, timeout_s)
         except PeerError:
-            self._maps.want()
+            self._maps.request_refresh()
             return None
-        answer = answer_of(proposal, reply)
+        answer = decode_answer(proposal, reply)
         if isinstance(answer, Refused) and answer.reason is Reason.CLAIM_UNAVAILABLE:
-            # Another owner, or one that cannot write for now.
-            self._maps.want()
+            # The slot has another owner by now, or the owner cannot write.
+            self._maps.request_refresh()
         return answer
 
     def close(self) -> None:
--- a/src/endivegw/daemons/claim_messages.py
+++ b/src/endivegw/daemons/claim_messages.py
@@ -1,4 +1,4 @@
-"""Turn claims into messages and back, for both sides of the call."""
+"""Encode claims as peer messages and decode them, for both sides of the call."""
 
 from __future__ import annotations
 
@@ -17,20 +17,26 @@
 from endivegw.results import Reason, Refused
 from endivegw.types import AttemptId, ClientAccountName, RequestIdentity, TargetName
 
-__all__ = ["answer_of", "ask_of", "identity_of", "reply_of", "request_of"]
+__all__ = [
+    "decode_answer",
+    "decode_proposal",
+    "decode_identity",
+    "encode_reply",
+    "encode_request",
+]
 
 
-def identity_of(request: pb.ClaimRequest) -> RequestIdentity:
-    """Return which request is claimed."""
+def decode_identity(request: pb.ClaimRequest) -> RequestIdentity:
+    """Decode the identity of the request that is claimed."""
     return RequestIdentity(
         ClientAccountName(request.client_account), request.idempotency_key
     )
 
 
-def ask_of(request: pb.ClaimRequest) -> ClaimProposal:
-    """Return what a router asks for."""
+def decode_proposal(request: pb.ClaimRequest) -> ClaimProposal:
+    """Decode the claim that a router proposes."""
     claim = Claim(
-        claim_key(identity_of(request)),
+        claim_key(decode_identity(request)),
         AttemptId(request.attempt_id),
         TargetName(request.target),
         request.target_instance_id,
@@ -40,10 +46,10 @@
     return ClaimProposal(claim, replaces, request.repeatable, request.lookup_only)
 
 
-def request_of(
+def encode_request(
     identity: RequestIdentity, proposal: ClaimProposal, header: pb.Header
 ) -> pb.ClaimRequest:
-    """Return the message for what a router asks."""
+    """Encode the claim that a router proposes."""
     return pb.ClaimRequest(
         header=header,
         client_account=identity.client_account,
@@ -58,8 +64,8 @@
     )
 
 
-def reply_of(answer: ClaimAnswer) -> pb.ClaimReply:
-    """Return the message for an owner's answer."""
+def encode_reply(answer: ClaimAnswer) -> pb.ClaimReply:
+    """Encode a slot owner's answer."""
     reply = pb.ClaimReply()
     match answer:
         case Granted(durable=durable):
@@ -74,37 +80,37 @@
             reply.unknown.reason = Reason.CLAIM_UNAVAILABLE.value
             reply.unknown.detail = "an earlier owner may have granted the key"
         case Waiting():
-            why = Refused(Reason.CLAIM_UNAVAILABLE, "the claim is not written yet")
-            reply.refused.CopyFrom(refusal(why))
+            pending = Refused(Reason.CLAIM_UNAVAILABLE, "the claim is not stored yet")
+            reply.refused.CopyFrom(refusal(pending))
         case Refused() as refused:
             reply.refused.CopyFrom(refusal(refused))
     return reply
 
 
-def answer_of(proposal: ClaimProposal, reply: pb.ClaimReply) -> ClaimAnswer:
-    """Return what the owner said; an unreadable reply is a refusal."""
+def decode_answer(proposal: ClaimProposal, reply: pb.ClaimReply) -> ClaimAnswer:
+    """Decode a slot owner's answer; an unreadable reply counts as a refusal."""
     match reply.WhichOneof("kind"):
         case "granted":
             return Granted(reply.durable)
         case "existing":
-            held = reply.existing
+            existing = reply.existing
             claim = Claim(
                 proposal.claim.key,
-                AttemptId(held.attempt_id),
-                TargetName(held.target),
-                held.target_instance_id,
-                held.body_digest,
+                AttemptId(existing.attempt_id),
+                TargetName(existing.target),
+                existing.target_instance_id,
+                existing.body_digest,
             )
             return Existing(claim)
         case "unknown":
             return CannotTell()
         case "refused":
             return Refused(_reason(reply.refused.reason), reply.refused.detail)
-    return Refused(Reason.CLAIM_UNAVAILABLE, "the reply says nothing")
+    return Refused(Reason.CLAIM_UNAVAILABLE, "the claim reply has no answer set")
 
 
 def _reason(code: str) -> Reason:
-    # A newer process may know reasons that this one does not.
+    # A process of a newer version may send reasons that are unknown here.
     try:
         return Reason(code)
     except ValueError:
--- a/src/endivegw/daemons/claim_slot.py
+++ b/src/endivegw/daemons/claim_slot.py
@@ -1,4 +1,4 @@
-"""Keep one owned slot: write its claims and its signs of life."""
+"""Maintain one owned key slot: write its claims and its heartbeats."""
 
 from __future__ import annotations
 
@@ -23,28 +23,32 @@
 from endivegw.results import Done, Reason, Refused
 from endivegw.services import Row, TablePort, Transaction
 
-__all__ = ["KeptSlot"]
+__all__ = ["OwnedSlot"]
 
-#: How long a call to the table may take; claims wait for it.
+#: Timeout of a call to the table; claims wait for the call.
 _TIMEOUT_S = 1.0
 
-#: Wait after a call that failed, so that 32 owners do not add to an outage.
+#: Pause after a failed call, so that 32 owners do not add load to an outage.
 _RETRY_S = 1.0
 
-#: How often waiting claims look whether the grace time has passed.
-_LOOK_S = 0.1
+#: Interval at which waiting claims check whether the grace time has passed.
+_POLL_INTERVAL_S = 0.1
 
-#: A clock that rounds must not make the writer spin.
-_LEAST_SLEEP_S = 0.001
+#: Lower bound of a sleep; a clock with coarse resolution must not make the
+#: writer spin.
+_MIN_SLEEP_S = 0.001
 
-#: Rows that one listing of the ring returns.
+#: Maximum rows per page when the ring is listed.
 _PAGE_ROWS = 1000
 
 
-class KeptSlot:
-    """Own one slot until it is lost or released.
+class OwnedSlot:
+    """Maintain one slot until it is lost or released.
 
-    :param wall: seconds since the epoch on this machine's clock.
+    :param slot: the slot as last written to the table.
+    :param owner: holds the slot's claims in memory.
+    :param heartbeat: the last heartbeat known for the slot.
+    :param wall: returns seconds since the epoch on this machine's clock.
     """
 
     def __init__(
@@ -58,37 +62,37 @@
     ) -> None:
         self.slot = slot
         self.owner = owner
-        self._beat = heartbeat
-        self._beat_due_s = clock()
+        self._heartbeat = heartbeat
+        self._heartbeat_due_s = clock()
         self._table = table
         self._clock = clock
         self._wall = wall
         self._loaded = False
         self._changed = anyio.Event()
-        self._asked = anyio.Event()
+        self._work_pending = anyio.Event()
 
-    async def ask(self, ask: ClaimProposal, wait_s: float) -> ClaimAnswer:
-        """Answer a claim; waiting where it is not written within ``wait_s``."""
-        give_up_s = self._clock() + wait_s
+    async def ask(self, proposal: ClaimProposal, wait_s: float) -> ClaimAnswer:
+        """Answer a claim; :class:`Waiting` if it is not written within ``wait_s``."""
+        deadline_s = self._clock() + wait_s
         while True:
             if not self._loaded:
                 answer: ClaimAnswer = Refused(
-                    Reason.CLAIM_UNAVAILABLE, "the slot is being read"
+                    Reason.CLAIM_UNAVAILABLE, "the slot's claims are still being loaded"
                 )
             else:
-                answer = self.owner.ask(ask, self._clock())
-            if not isinstance(answer, Waiting) or self._clock() >= give_up_s:
+                answer = self.owner.ask(proposal, self._clock())
+            if not isinstance(answer, Waiting) or self._clock() >= deadline_s:
                 return answer
             changed = self._changed
-            self._asked.set()
-            with anyio.move_on_after(_LOOK_S):
+            self._work_pending.set()
+            with anyio.move_on_after(_POLL_INTERVAL_S):
                 await changed.wait()
 
-    async def keep(self) -> None:
-        """Read the earlier owners' claims, then write until the slot is lost."""
+    async def maintain(self) -> None:
+        """Load the earlier owners' claims, then write until the slot is lost."""
         await self._load()
         while not self.owner.lost:
-            self._asked = anyio.Event()
+            self._work_pending = anyio.Event()
             failed = not await self._write_due()
             if failed:
                 self.owner.failed()
@@ -97,12 +101,12 @@
             await self._wait_for_work()
 
     async def release(self) -> bool:
-        """Flush and let go; return whether the table took it."""
+        """Flush and release the slot; return whether the table confirmed it."""
         self.owner.releasing = True
-        self._asked.set()
+        self._work_pending.set()
         while not self.owner.flushed and not self.owner.lost:
             changed = self._changed
-            with anyio.move_on_after(_LOOK_S):
+            with anyio.move_on_after(_POLL_INTERVAL_S):
                 await changed.wait()
         if self.owner.lost:
             return True
@@ -136,10 +140,13 @@
         self._loaded = True
 
     async def _write_due(self) -> bool:
-        """Carry out what is due; return False where the table did not answer."""
+        """Write the heartbeat or claims that are due.
+
+        :returns: False if the table did not confirm a write.
+        """
         now_s = self._clock()
-        if now_s >= self._beat_due_s:
-            return await self._write_beat(now_s)
+        if now_s >= self._heartbeat_due_s:
+            return await self._write_heartbeat(now_s)
         commit = self.owner.next_commit(now_s)
         if commit is not None:
             ring_rows = self.owner.limits.ring_rows
@@ -149,25 +156,28 @@
                 return self.owner.lost
             self.owner.committed(commit)
         if self.slot.tainted and not self._tainted():
-            return await self._clear_taint()
+            return await self._clear_tainted()
         return True
 
-    async def _write_beat(self, now_s: float) -> bool:
+    async def _write_heartbeat(self, now_s: float) -> bool:
         heartbeat = SlotHeartbeat(
-            self._beat.count + 1, self._beat.confirmed, self._beat.confirmed_wall_ms
+            self._heartbeat.count + 1,
+            self._heartbeat.confirmed,
+            self._heartbeat.confirmed_wall_ms,
         )
         # The number is used up even if the answer is lost.
-        self._beat = heartbeat
+        self._heartbeat = heartbeat
         if not await self._transact(heartbeat_transaction(self.slot, heartbeat)):
             return self.owner.lost
-        self._beat = SlotHeartbeat(
+        self._heartbeat = SlotHeartbeat(
             heartbeat.count, heartbeat.count, int(self._wall() * 1000)
         )
         self.owner.heartbeat(self._clock())
-        self._beat_due_s = now_s + self.owner.limits.heartbeat_interval_s
+        self._heartbeat_due_s = now_s + self.owner.limits.heartbeat_interval_s
         return True
 
-    async def _clear_taint(self) -> bool:
+    async def _clear_tainted(self) -> bool:
+        """Write the slot's row anew without its tainted mark."""
         slot = self.slot
         acquisition = SlotAcquisition(slot.number, slot.version, slot.epoch, False)
         transaction = acquire_transaction(
@@ -188,7 +198,11 @@
         return False
 
     async def _confirm_owner(self) -> None:
-        """Read the slot's row: a conflict may come from an own write."""
+        """Read the slot's row, and release ownership if another process has it.
+
+        A conflict alone proves no other owner: it may come from a write of this
+        process whose answer was lost.
+        """
         key = slot_key(self.slot.number)
         result = await self._table.read((key,), timeout_s=_TIMEOUT_S)
         if not isinstance(result, Done):
@@ -196,15 +210,15 @@
         row = result.value[0]
         rows = () if row is None else (row,)
         found = slot_map_of_rows(rows, self._clock()).slots.get(self.slot.number)
-        mine = found is not None and not found.released
-        if found is None or not mine or not self._is_own(found):
+        is_held = found is not None and not found.released
+        if found is None or not is_held or not self._is_same_owner(found):
             self.owner.ownership_lost()
             return
         self.slot = found
 
-    def _is_own(self, found: Slot) -> bool:
-        own = self.slot
-        return found.instance_id == own.instance_id and found.epoch == own.epoch
+    def _is_same_owner(self, found: Slot) -> bool:
+        slot = self.slot
+        return found.instance_id == slot.instance_id and found.epoch == slot.epoch
 
     def _notify(self) -> None:
         self._changed.set()
@@ -214,10 +228,10 @@
         now_s = self._clock()
         commit_s = self.owner.commit_due_s(now_s)
         if commit_s is not None:
-            # Claims that come meanwhile go into the same row.
-            due_s = min(self._beat_due_s, commit_s)
-            await anyio.sleep(max(_LEAST_SLEEP_S, due_s - now_s))
+            # Claims that arrive in the meantime go into the same row.
+            due_s = min(self._heartbeat_due_s, commit_s)
+            await anyio.sleep(max(_MIN_SLEEP_S, due_s - now_s))
             return
-        wait_s = max(_LEAST_SLEEP_S, self._beat_due_s - now_s)
+        wait_s = max(_MIN_SLEEP_S, self._heartbeat_due_s - now_s)
         with anyio.move_on_after(wait_s):
-            await self._asked.wait()
+            await self._work_pending.wait()
--- a/src/endivegw/daemons/direct_beliefs.py
+++ b/src/endivegw/daemons/direct_beliefs.py
@@ -1,4 +1,4 @@
-"""The configuration and the other routers, kept up to date by feeds."""
+"""Feed readers for the configuration and for the rows of the other routers."""
 
 from __future__ import annotations
 
@@ -17,26 +17,27 @@
 __all__ = ["ConfigurationReader", "PeerReader", "RowDecoder", "log_unreadable"]
 
 
-#: Budgets that one log line names; a first version may bring tens of thousands.
-_MOST_LOGGED = 50
+#: Maximum budgets named in one log line; a first configuration may have tens of
+#: thousands.
+_MAX_LOGGED_BUDGETS = 50
 
 
 class RowDecoder(Protocol):
-    """Decode the rows of a deployment; :exc:`ValueError` where one is malformed."""
+    """Decode the rows of a deployment; raise :exc:`ValueError` if one is malformed."""
 
     configuration_table: str
     configuration_key: str
     targets_table: str
 
     def configuration(self, value: bytes) -> FleetConfiguration:
-        """Return a configuration."""
+        """Decode a configuration."""
 
     def target(self, key: str, value: bytes) -> DirectTarget:
-        """Return a target's entry."""
+        """Decode a target's entry."""
 
 
 def log_unreadable(log: EventLog, row: StoredRow, error: ValueError) -> None:
-    """Say that a row does not decode; the last good state stays in force."""
+    """Log that a row does not decode; the last valid state stays in force."""
     log.emit(
         events.CONFIGURATION_UNREADABLE,
         table=row.table,
@@ -49,18 +50,21 @@
 def _changed_budgets(
     before: RoutingTable | None, after: RoutingTable
 ) -> dict[ClientAccountName, int]:
-    """Return the budgets that a version brought or changed, for its log line."""
+    """Return the budgets that a version added or changed, for its log line."""
     known = before.prepaid_tokens() if before is not None else {}
-    changed = {
+    differing = {
         account: tokens
         for account, tokens in after.prepaid_tokens().items()
         if known.get(account) != tokens
     }
-    return dict(islice(changed.items(), _MOST_LOGGED))
+    return dict(islice(differing.items(), _MAX_LOGGED_BUDGETS))
 
 
 class ConfigurationReader:
-    """Put configurations in force, each version at most once and never back."""
+    """Put configurations in force, each version at most once and never an older one.
+
+    :param on_change: called after a version has come into force.
+    """
 
     def __init__(
         self,
@@ -74,13 +78,13 @@
         self._on_change = on_change
         self._log = log
 
-    def listed(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in the whole table."""
+    def on_listing(self, rows: tuple[StoredRow, ...]) -> None:
+        """Apply all rows of the table."""
         for row in rows:
-            self.changed(row)
+            self.on_row(row)
 
-    def changed(self, row: StoredRow) -> None:
-        """Take in one row; others than the configuration's are ignored."""
+    def on_row(self, row: StoredRow) -> None:
+        """Apply the configuration's row; ignore any other."""
         if row.key != self._decoder.configuration_key or row.deleted:
             return
         try:
@@ -104,47 +108,52 @@
         )
         self._on_change()
 
-    def lost(self) -> None:
-        """Go on with the version in force."""
+    def on_unavailable(self) -> None:
+        """Do nothing: the version in force stays."""
 
-    def heard(self) -> None:
-        """Do nothing: versions speak for themselves."""
+    def on_response(self) -> None:
+        """Do nothing: rows carry their own version."""
 
 
 class PeerReader:
-    """Keep the table of the other routers, and this router's own row in it."""
+    """Keep the table of the other routers, and track this router's row in it.
+
+    :ivar own_revision: revision of this router's row in the store; 0 for none.
+    :ivar registered: whether the store has this router's row as it should be.
+    """
 
-    def __init__(self, peers: PeerTable, own: PeerEntry, log: EventLog) -> None:
+    def __init__(self, peers: PeerTable, local_entry: PeerEntry, log: EventLog) -> None:
         self._peers = peers
-        self._own = own
+        self._local_entry = local_entry
         self._log = log
-        #: The revision that this router's row has in the store; 0 for none.
         self.own_revision = 0
         self.registered = False
         self._revisions: dict[str, int] = {}
 
     async def remove(self, store: RowsPort, vm: str, *, timeout_s: float) -> None:
-        """Delete the row of a router that is gone, unless it was written since."""
+        """Delete the row of a terminated router, unless it was written since."""
         row = ExpectedRow(PEERS_TABLE, vm, self._revisions.get(vm, 0))
         if row.revision:
             await store.transact((), (), deletes=(row,), timeout_s=timeout_s)
 
-    def listed(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in the whole table."""
+    def on_listing(self, rows: tuple[StoredRow, ...]) -> None:
+        """Apply all rows of the table; routers without a row are removed."""
         names = {row.key for row in rows}
         for entry in self._peers.entries():
             if entry.vm not in names:
                 self._peers.remove(entry.vm)
-        if self._own.vm not in names:
+        if self._local_entry.vm not in names:
             self.own_revision, self.registered = 0, False
         for row in rows:
-            self.changed(row)
+            self.on_row(row)
 
-    def changed(self, row: StoredRow) -> None:
-        """Take in one row."""
-        if row.key == self._own.vm:
+    def on_row(self, row: StoredRow) -> None:
+        """Apply one row."""
+        if row.key == self._local_entry.vm:
             self.own_revision = 0 if row.deleted else row.revision
-            self.registered = not row.deleted and row.value == self._own.encode()
+            self.registered = (
+                not row.deleted and row.value == self._local_entry.encode()
+            )
             return
         if row.deleted:
             self._peers.remove(row.key)
@@ -156,8 +165,8 @@
         except ValueError as error:
             log_unreadable(self._log, row, error)
 
-    def lost(self) -> None:
-        """Go on with the routers that are known."""
+    def on_unavailable(self) -> None:
+        """Do nothing: the known routers stay."""
 
-    def heard(self) -> None:
-        """Do nothing: rows speak for themselves."""
+    def on_response(self) -> None:
+        """Do nothing: rows carry their own revision."""
--- a/src/endivegw/daemons/direct_router.py
+++ b/src/endivegw/daemons/direct_router.py
@@ -1,4 +1,4 @@
-"""A router that calls targets itself: listeners, feeds, orderly stop."""
+"""A router that calls targets directly: listeners, feeds, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 __all__ = ["DirectRouter", "DirectRouterOptions"]
 
-#: Connections that wait to be accepted; a balancer opens many at once when a
-#: router joins.
+#: Maximum connections that wait to be accepted; a load balancer opens many at
+#: once when a router joins.
 _BACKLOG = 1024
 
-#: Pause between two tries to write the own address.
-_PAUSE_S = 0.2
+#: Interval at which this router's row is checked, and written if it is missing.
+_REGISTER_INTERVAL_S = 0.2
 
 _NO_LOAD = LocalLoad(0, 0)
 
@@ -42,12 +42,13 @@
 
 @frozen
 class DirectRouterOptions:
-    """Hold intervals and the times of an orderly stop.
+    """Hold the durations of a graceful shutdown, and a timeout.
 
-    :param stop_after_s: how long a stopping router takes new connections: the
-        balancer asks once a second and needs two bad answers.
-    :param stop_within_s: when it ends at the latest.
-    :param write_timeout_s: for writes of the own address.
+    :param stop_after_s: seconds for which a stopping router accepts new
+        connections: the load balancer checks it once a second and stops using it
+        after two failed checks.
+    :param stop_within_s: maximum duration of the shutdown in seconds.
+    :param write_timeout_s: timeout in seconds for writes of this router's row.
     """
 
     stop_after_s: float = 2.6
@@ -57,7 +58,7 @@
 
 @frozen
 class DirectRouterParts:
-    """Hold what the composition root wired."""
+    """Hold the parts of a router, as wired by the composition root."""
 
     context: RelayContext
     handler: Handler
@@ -75,7 +76,7 @@
 
 
 class DirectRouter:
-    """Run one router until it is told to stop."""
+    """Run one router until it is drained."""
 
     def __init__(
         self,
@@ -86,7 +87,7 @@
         self._options = options
         self._connections: set[CallerConnection] = set()
         self._stopped = anyio.Event()
-        #: Cancelled when no more callers are taken.
+        #: Cancelled to stop accepting connections from callers.
         self._accepting: anyio.CancelScope | None = None
         parts.context.metrics.gauge(
             "caller_connections",
@@ -96,10 +97,10 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers to this router."""
         context = self._parts.context
-        known = context.table is not None and self._parts.allowances.ready
-        return known and context.quarantine.listing_attempted and not context.draining
+        loaded = context.table is not None and self._parts.allowances.ready
+        return loaded and context.quarantine.listing_attempted and not context.draining
 
     async def run(self, *, task_status: Any = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until stopped."""
@@ -112,10 +113,10 @@
             tasks.start_soon(parts.context.queue.run)
             tasks.start_soon(parts.link.run)
             tasks.start_soon(parts.context.quarantine.run)
-            tasks.start_soon(self._keep_own_address)
-            tasks.start_soon(self._tell_load)
+            tasks.start_soon(self._maintain_registration)
+            tasks.start_soon(self._report_load)
             tasks.start_soon(
-                self._listen, parts.ready_address, self._say_ready, tasks, None
+                self._listen, parts.ready_address, self._serve_readiness, tasks, None
             )
             tasks.start_soon(
                 self._listen,
@@ -126,7 +127,11 @@
             )
             if parts.metrics_address is not None:
                 tasks.start_soon(
-                    self._listen, parts.metrics_address, self._show, tasks, None
+                    self._listen,
+                    parts.metrics_address,
+                    self._serve_metrics,
+                    tasks,
+                    None,
                 )
             parts.log.emit(
                 events.PROCESS_STARTED,
@@ -140,7 +145,7 @@
         parts.log.emit(events.PROCESS_STOPPED, connections=len(self._connections))
 
     async def drain(self) -> None:
-        """End what runs, give the tokens back, then let :meth:`run` return."""
+        """Finish running requests, return tokens, then let :meth:`run` return."""
         options = self._options
         self._parts.context.draining = True
         self._parts.log.emit(
@@ -148,9 +153,9 @@
         )
         with anyio.move_on_after(options.stop_within_s):
             await anyio.sleep(options.stop_after_s)
-            # A balancer with too few other routers goes on sending callers here.
-            # One that is taken late is cut off by the end; one that finds no
-            # listener goes to another router at once.
+            # A load balancer with too few other routers keeps sending callers to
+            # this one. A connection accepted late would be closed by the
+            # shutdown, whereas a refused one goes to another router at once.
             if self._accepting is not None:
                 self._accepting.cancel()
             for connection in list(self._connections):
@@ -158,8 +163,9 @@
             while any(connection.busy for connection in self._connections):
                 await anyio.sleep(0.05)
             await self._parts.allowances.stop()
-            # Until then others find by it whose row to look after.
-            await self._remove_own_address()
+            # The row is removed only after the tokens were returned: until then
+            # it shows the other routers whose tokens they may have to take over.
+            await self._unregister()
         await self._parts.allowances.send_final_statement()
         self._stopped.set()
 
@@ -170,7 +176,11 @@
         tasks: TaskGroup,
         accepting: anyio.CancelScope | None,
     ) -> None:
-        """Serve connections in ``tasks``, so that they outlive the listener."""
+        """Serve connections in ``tasks``, so that they outlive the listener.
+
+        :param accepting: stops the listener when cancelled; None for a listener
+            that runs as long as the router.
+        """
         listener = await anyio.create_tcp_listener(
             local_host=address.ip,
             local_port=address.port,
@@ -197,8 +207,8 @@
         try:
             await connection.serve()
         except Exception as error:
-            # An error in a task group cancels the whole group, and the group
-            # is the router: one request must not end all others.
+            # An exception in a task group cancels the whole group, which is the
+            # router; one failed request must not abort all others.
             self._parts.log.emit(
                 events.CONNECTION_FAILED, detail="".join(format_exception(error))
             )
@@ -209,22 +219,27 @@
         table = self._parts.context.table
         return table.limits if table is not None else CallerLimits()
 
-    async def _say_ready(self, request: CallerRequest, writer: AnswerWriter) -> None:
+    async def _serve_readiness(
+        self, request: CallerRequest, writer: AnswerWriter
+    ) -> None:
+        """Answer the load balancer's readiness check."""
         if request.path != "/ready":
             await writer.send_complete(_NOT_FOUND, [], b"")
             return
         await writer.send_complete(_OK if self.ready else _UNAVAILABLE, [], b"")
 
-    async def _show(self, request: CallerRequest, writer: AnswerWriter) -> None:
-        """Answer with the page of metrics."""
+    async def _serve_metrics(
+        self, request: CallerRequest, writer: AnswerWriter
+    ) -> None:
+        """Answer with the metrics page."""
         if request.path != "/metrics":
             await writer.send_complete(_NOT_FOUND, [], b"")
             return
         fields = [(b"content-type", b"text/plain; version=0.0.4; charset=utf-8")]
         await writer.send_complete(_OK, fields, self._parts.context.metrics.page())
 
-    async def _tell_load(self) -> None:
-        """Show the dispatcher what the other routers have at the targets."""
+    async def _report_load(self) -> None:
+        """Report to the dispatcher what all routers have running at the targets."""
         parts = self._parts
         dispatcher = parts.context.queue.dispatcher
         while True:
@@ -232,11 +247,11 @@
             parts.targets.expire_missing()
             now_s = parts.clock()
             others = parts.link.peers.load(now_s)
-            own = dispatcher.local_load()
+            local = dispatcher.local_load()
             for target in parts.targets.view.targets.values():
                 name = TargetName(target.instance_id)
                 other = others.get(name, _NO_LOAD)
-                running = own.get(name, _NO_LOAD).running + other.running
+                running = local.get(name, _NO_LOAD).running + other.running
                 figures = LoadFigures(
                     running,
                     0,
@@ -248,8 +263,11 @@
                 dispatcher.report(name, figures, now_s)
             parts.context.queue.wake()
 
-    async def _keep_own_address(self) -> None:
-        """Write the own row, again where an earlier process's late write hid it."""
+    async def _maintain_registration(self) -> None:
+        """Write this router's row whenever the store does not have it.
+
+        A late write of an earlier process under the same key may overwrite it.
+        """
         reader = self._parts.peer_reader
         entry = self._parts.link.entry
         while True:
@@ -260,14 +278,15 @@
                     (NewRow(PEERS_TABLE, entry.vm, entry.encode()),),
                     timeout_s=self._options.write_timeout_s,
                 )
-            await anyio.sleep(_PAUSE_S)
+            await anyio.sleep(_REGISTER_INTERVAL_S)
 
-    async def _remove_own_address(self) -> None:
+    async def _unregister(self) -> None:
+        """Delete this router's row, unless another process has overwritten it."""
         reader = self._parts.peer_reader
         if not reader.registered:
             return
         vm = self._parts.link.entry.vm
-        own = ExpectedRow(PEERS_TABLE, vm, reader.own_revision)
+        row = ExpectedRow(PEERS_TABLE, vm, reader.own_revision)
         await self._parts.store.transact(
-            (), (), deletes=(own,), timeout_s=self._options.write_timeout_s
+            (), (), deletes=(row,), timeout_s=self._options.write_timeout_s
         )
--- a/src/endivegw/daemons/engine_starts.py
+++ b/src/endivegw/daemons/engine_starts.py
@@ -1,4 +1,7 @@
-"""Count the starts of the engine beside a sidecar, by what it forgot."""
+"""Number the starts of the engine beside a sidecar.
+
+The sidecar sees that an engine restarted when it no longer knows a generation.
+"""
 
 from __future__ import annotations
 
@@ -13,18 +16,18 @@
 class EngineStarts:
     """Name the engine's start that a generation belongs to.
 
-    Generations that one end of the engine broke name the same start, whichever of
-    them is the first to find out.
+    All generations that were broken by one termination of the engine report the
+    same start, whichever of them detects the termination first.
 
-    :param sidecar: this start of the sidecar.
-    :ivar number: of the engine's start that runs now, as far as it is known.
+    :param sidecar: instance id of this sidecar process.
+    :ivar number: number of the engine's latest known start.
     """
 
     sidecar: InstanceId
     number: int = 1
 
-    def ended(self, number: int) -> str:
-        """Note that a start has ended; return its name."""
+    def record_termination(self, number: int) -> str:
+        """Record that a start has terminated; return the name of that start."""
         if number == self.number:
             self.number += 1
         return f"{self.sidecar}.{number}"
--- a/src/endivegw/daemons/held_attempts.py
+++ b/src/endivegw/daemons/held_attempts.py
@@ -17,7 +17,7 @@
 from endivegw.daemons.background import Background
 from endivegw.daemons.request_plan import RequestPlan
 from endivegw.daemons.sidecar_links import (
-    CancelWord,
+    CancelStatus,
     SidecarDirectory,
     cancel_attempt,
 )
@@ -108,7 +108,7 @@
                 return
             step = evolve(step, bar_only=True)
 
-    def _apply_reply(self, attempt: UnresolvedAttempt, reply: CancelWord) -> bool:
+    def _apply_reply(self, attempt: UnresolvedAttempt, reply: CancelStatus) -> bool:
         """Settle the attempt by a sidecar's reply; return whether it is settled."""
         if reply.never_started:
             self._charge(attempt, Usage(), "never-started")
--- a/src/endivegw/daemons/row_feed.py
+++ b/src/endivegw/daemons/row_feed.py
@@ -1,4 +1,4 @@
-"""Follow one table of the store: list it once, then read what changes."""
+"""Follow one table of the row store: list it, then read its changes."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 
 __all__ = ["FeedReader", "RowFeed"]
 
-#: How long one read waits for a change. Short, because a connection may fall
-#: silent without a reset: the next read then shows it.
+#: How long one read waits for a change. Short, because a connection may stall
+#: without a reset; the next read then detects it.
 _WAIT_S = 0.5
 
-#: What the answer may take beyond the wait; a hundred times the usual.
-_ANSWER_S = 0.5
+#: Time allowed for an answer beyond the wait, a hundred times the usual time.
+_ANSWER_TIMEOUT_S = 0.5
 
-#: The listing is read again this often: a feed may say nothing for a second
-#: while rows change and its history is dropped.
-_LIST_EVERY_S = 5.0
+#: Interval at which the whole table is listed again. A feed may deliver nothing
+#: for a second while rows change and their history is dropped.
+_LIST_INTERVAL_S = 5.0
 
-#: Pause after a read that failed at once.
-_PAUSE_S = 0.15
+#: Pause after a failed read, which may have failed immediately.
+_RETRY_PAUSE_S = 0.15
 
 
 class FeedReader(Protocol):
-    """Take in what a table says."""
+    """Receive the rows of a table and the state of the store."""
 
-    def listed(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in all rows of the table."""
+    def on_listing(self, rows: tuple[StoredRow, ...]) -> None:
+        """Receive all rows of the table."""
 
-    def changed(self, row: StoredRow) -> None:
-        """Take in one row that was written or deleted."""
+    def on_row(self, row: StoredRow) -> None:
+        """Receive one row that was written or deleted."""
 
-    def lost(self) -> None:
-        """Note that the store does not answer."""
+    def on_unavailable(self) -> None:
+        """Record that the store does not answer."""
 
-    def heard(self) -> None:
-        """Note an answer of the store, before what it says."""
+    def on_response(self) -> None:
+        """Record an answer of the store, before its rows are delivered."""
 
 
 class RowFeed:
@@ -62,7 +62,7 @@
         self._log = log
         self._revision: int | None = None
         self._listed_s = 0.0
-        self._away_since_s: float | None = None
+        self._unavailable_since_s: float | None = None
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
@@ -72,57 +72,59 @@
             else:
                 ok = await self._watch(self._revision)
             if not ok:
-                await anyio.sleep(_PAUSE_S)
+                await anyio.sleep(_RETRY_PAUSE_S)
 
     async def _list(self) -> bool:
-        result = await self._store.list_rows(self._table, timeout_s=_WAIT_S + _ANSWER_S)
+        result = await self._store.list_rows(
+            self._table, timeout_s=_WAIT_S + _ANSWER_TIMEOUT_S
+        )
         if not isinstance(result, Done):
-            self._lost(result)
+            self._on_failure(result)
             return False
-        self._heard(result.value)
-        self._reader.listed(result.value.rows)
+        self._on_answer(result.value)
+        self._reader.on_listing(result.value.rows)
         self._listed_s = self._clock()
         self._revision = result.value.timestamp.revision
         return True
 
     async def _watch(self, revision: int) -> bool:
         result = await self._store.watch(
-            self._table, revision, wait_s=_WAIT_S, timeout_s=_WAIT_S + _ANSWER_S
+            self._table, revision, wait_s=_WAIT_S, timeout_s=_WAIT_S + _ANSWER_TIMEOUT_S
         )
         match result:
             case Done(changes):
-                self._heard(changes)
+                self._on_answer(changes)
                 for row in changes.rows:
-                    self._reader.changed(row)
+                    self._reader.on_row(row)
                 self._revision = max(revision, changes.timestamp.revision)
-                if self._clock() - self._listed_s > _LIST_EVERY_S:
+                if self._clock() - self._listed_s > _LIST_INTERVAL_S:
                     self._revision = None
                 return True
             case HistoryGone():
                 self._revision = None
                 return True
-        self._lost(result)
+        self._on_failure(result)
         return False
 
-    def _heard(self, changes: Changes) -> None:
-        if self._away_since_s is not None:
+    def _on_answer(self, changes: Changes) -> None:
+        if self._unavailable_since_s is not None:
             self._log.emit(
                 events.FEED_RECOVERED,
                 table=self._table,
-                away_s=round(self._clock() - self._away_since_s, 3),
+                away_s=round(self._clock() - self._unavailable_since_s, 3),
                 revision=changes.timestamp.revision,
             )
-            self._away_since_s = None
-        self._reader.heard()
+            self._unavailable_since_s = None
+        self._reader.on_response()
 
-    def _lost(self, result: Refused | Unknown) -> None:
-        # What has changed may be more than an answer can bring in its time: versions
-        # that follow each other at once, over a slow link. Asked for again from the
-        # same revision it only grows; a listing has the newest of each row.
+    def _on_failure(self, result: Refused | Unknown) -> None:
+        # Many versions in quick succession over a slow link may not fit into one
+        # answer within its timeout. Requested again from the same revision the
+        # changes only grow, whereas a listing holds the newest version of each row.
         self._revision = None
-        if self._away_since_s is None:
-            self._away_since_s = self._clock()
+        if self._unavailable_since_s is None:
+            self._unavailable_since_s = self._clock()
             self._log.emit(
                 events.FEED_LOST, table=self._table, reason=result.reason.value
             )
-        self._reader.lost()
+        self._reader.on_unavailable()
--- a/src/endivegw/daemons/sidecar_body.py
+++ b/src/endivegw/daemons/sidecar_body.py
@@ -1,4 +1,4 @@
-"""The body of a plain service's request, on its way through the sidecar."""
+"""Streams the body of a plain service's request through the sidecar."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 __all__ = ["BodyChannel", "single_body"]
 
-#: Chunks that may wait for the service; the rest waits at the router.
-_WAITING_CHUNKS = 4
+#: Maximum chunks that are buffered for the service; the rest waits at the router.
+_MAX_BUFFERED_CHUNKS = 4
 
 
 async def single_body(data: bytes) -> AsyncIterator[bytes]:
-    """Yield a body that came whole."""
+    """Yield a body that arrived in a single message."""
     if data:
         yield data
 
@@ -25,26 +25,26 @@
 class BodyChannel:
     """Carry chunks from the router's stream to the task that calls the service.
 
-    A router that dies in the middle of an upload must not make a short body
-    look whole: a stand would be booked from half an order. Only the chunk that
-    says it is the last ends the body.
+    If a router dies during an upload, the truncated body must not look complete:
+    the service would carry out half a request. Only a chunk that is marked as
+    the last one ends the body.
     """
 
     def __init__(self) -> None:
         self._sender: MemoryObjectSendStream[pb.BodyChunk]
         self._receiver: MemoryObjectReceiveStream[pb.BodyChunk]
         self._sender, self._receiver = anyio.create_memory_object_stream(
-            _WAITING_CHUNKS
+            _MAX_BUFFERED_CHUNKS
         )
 
     async def pump(self, stream: Any) -> None:
-        """Read chunks from a call until the last one, or until it breaks."""
+        """Forward chunks from a call until the last one, or until the call breaks."""
         async with self._sender:
             async for message in stream:
                 try:
                     await self._sender.send(message.chunk)
                 except anyio.BrokenResourceError:
-                    # The service answered without reading the rest.
+                    # The service answered without reading the rest of the body.
                     return
                 if message.chunk.last:
                     return
@@ -52,7 +52,7 @@
     async def chunks(self) -> AsyncIterator[bytes]:
         """Yield the body.
 
-        :raises PeerError: where it ends without its last chunk.
+        :raises PeerError: if the stream ends before the last chunk.
         """
         async with self._receiver:
             async for chunk in self._receiver:
@@ -60,4 +60,6 @@
                     yield chunk.data
                 if chunk.last:
                     return
-        raise PeerError("the body ended without its last chunk")
+        raise PeerError(
+            "request body truncated: the stream ended before its last chunk"
+        )
--- a/src/endivegw/daemons/sidecar_configuration.py
+++ b/src/endivegw/daemons/sidecar_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration as a sidecar's gate sees it."""
+"""The configuration as a sidecar's admission gate uses it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class SidecarConfiguration:
-    """Join the configuration's agent and the book of peers for the gate."""
+    """Combine the configuration agent with the handling of peers' headers.
+
+    :param on_header: receives the header of each message.
+    """
 
     def __init__(
         self, agent: ConfigurationAgent, on_header: Callable[[pb.Header], None]
@@ -22,13 +25,13 @@
 
     @property
     def revision(self) -> ConfigRevision:
-        """Return the revision that is held whole; 0 for none."""
+        """Return the revision of the complete local configuration; 0 for none."""
         return self._agent.revision
 
-    def heard_header(self, header: pb.Header) -> None:
-        """Learn who sent a message, and which revision to fetch if newer."""
+    def receive_header(self, header: pb.Header) -> None:
+        """Record a message's sender, and the revision to fetch if it is newer."""
         self._on_header(header)
 
     def newer_than(self, revision: ConfigRevision) -> bytes:
-        """Return the encoded configuration where it is newer."""
+        """Return the encoded configuration if it is newer than a revision."""
         return self._agent.newer_than(revision)
--- a/src/endivegw/daemons/sidecar_engine.py
+++ b/src/endivegw/daemons/sidecar_engine.py
@@ -1,4 +1,4 @@
-"""Run one generation at a model engine, into the buffer of its answer."""
+"""Run one generation at a model engine and write its answer into a buffer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from endivegw.daemons.engine_starts import EngineStarts
 from endivegw.daemons.sidecar_ports import Clock, GrantGate, SidecarSettings
-from endivegw.daemons.sidecar_run import Run
+from endivegw.daemons.sidecar_run import AttemptRun
 from endivegw.exceptions import TargetError
 from endivegw.requests.buffer import BufferFailure
 from endivegw.results import Done, Reason, Refused
@@ -25,17 +25,17 @@
 
 __all__ = ["EngineJob"]
 
-#: What a broken stream to the engine looks like.
-_BROKEN = (TargetError, OSError)
+#: Exceptions that a broken stream to the engine raises.
+_STREAM_ERRORS = (TargetError, OSError)
 
-#: Reasons for which an answer is given up rather than resumed.
+#: Reasons for which an answer is aborted instead of resumed.
 _FINAL = frozenset({Reason.BUDGET_EXHAUSTED, Reason.CANCELLED, Reason.DEADLINE})
 
 
 class EngineJob:
-    """Drive one generation; it ends its buffer exactly once.
+    """Drive one generation; set the outcome of its buffer exactly once.
 
-    :param prompt_bound_tokens: the most that the prompt can count.
+    :param prompt_bound_tokens: upper bound of the prompt's tokens.
     :param starts: names the engine's start that the generation belongs to.
     """
 
@@ -45,7 +45,7 @@
         grants: GrantGate,
         settings: SidecarSettings,
         clock: Clock,
-        run: Run,
+        run: AttemptRun,
         request: EngineRequest,
         prompt_bound_tokens: int,
         starts: EngineStarts,
@@ -61,12 +61,12 @@
         self._start_number = starts.number
         self._pieces = 0
         self._tokens = 0
-        self._resumed = 0
+        self._resumes = 0
 
     async def run(self) -> Usage:
-        """Generate until the answer is whole or has failed.
+        """Generate until the answer is complete or has failed.
 
-        :returns: what is to be charged.
+        :returns: the usage to charge.
         """
         events = self._engine.generate(self._request)
         while True:
@@ -76,42 +76,47 @@
                 return outcome.usage
             if not self._resumable(outcome):
                 return await self._fail(outcome)
-            # The stream broke, not the generation: the engine may still be at
-            # it. Starting it anew would be paid for twice.
-            self._resumed += 1
+            # Only the stream broke; the engine may still be generating. A second
+            # generation would be charged twice.
+            self._resumes += 1
             await anyio.sleep(self._settings.resume_pause_s)
             events = self._engine.resume(self._request, self._pieces)
 
     async def stop(self, reason: Reason) -> Usage:
-        """End the engine's work for a caller that went away or a late answer.
+        """Stop the engine after a cancel, or when the deadline has passed.
 
-        :returns: what is to be charged.
+        :returns: the usage to charge.
         """
-        return await self._fail(self._failed(reason, "stopped by the fleet"))
+        return await self._fail(self._failed(reason, "stopped by the sidecar"))
 
     async def _consume(self, events: Any) -> EngineEnded | EngineFailed:
         event: EngineEvent
         try:
-            # Closing it at once, not at some later time, tells the engine that
-            # nobody reads any more.
+            # Closing the stream at once, instead of on garbage collection,
+            # signals to the engine that nothing reads it any more.
             async with aclosing(events):
                 async for event in events:
                     if not isinstance(event, EngineText):
                         return event
-                    if self._beyond_bound(event.tokens):
-                        detail = "the engine went beyond its token bound"
+                    if self._exceeds_limit(event.tokens):
+                        detail = (
+                            "the engine exceeded its limit of"
+                            f" {self._request.max_completion_tokens} completion tokens"
+                        )
                         return self._failed(Reason.BUDGET_EXHAUSTED, detail)
-                    await self._take(event)
-        except _BROKEN as error:
+                    await self._append(event)
+        except _STREAM_ERRORS as error:
             return self._failed(Reason.UNREACHABLE, str(error))
-        return self._failed(Reason.UNREACHABLE, "the stream ended early")
+        return self._failed(
+            Reason.UNREACHABLE, "the engine's stream ended without an outcome"
+        )
 
-    def _beyond_bound(self, tokens: int) -> bool:
-        # The grant holds no more: an engine that ignores its bound would spend
-        # beyond the prepaid budget.
+    def _exceeds_limit(self, tokens: int) -> bool:
+        # The grant covers no more tokens. An engine that ignores the limit would
+        # spend beyond the prepaid budget.
         return self._tokens + tokens > self._request.max_completion_tokens
 
-    async def _take(self, event: EngineText) -> None:
+    async def _append(self, event: EngineText) -> None:
         self._pieces += 1
         self._tokens += event.tokens
         now_s = self._clock()
@@ -123,24 +128,24 @@
             failed.started
             and not failed.usage_final
             and failed.reason not in _FINAL
-            and not self._is_forgotten(failed)
-            and self._resumed < self._settings.resume_tries
+            and not self._is_unknown_to_engine(failed)
+            and self._resumes < self._settings.max_resumes
             and self._clock() < self._run.deadline_s
         )
 
-    def _is_forgotten(self, failed: EngineFailed) -> bool:
-        """Return whether the engine does not know the generation any more."""
-        return self._resumed > 0 and failed.reason is Reason.UNKNOWN_MODEL
+    def _is_unknown_to_engine(self, failed: EngineFailed) -> bool:
+        """Return whether the engine no longer knows the generation."""
+        return self._resumes > 0 and failed.reason is Reason.UNKNOWN_MODEL
 
-    def _target_end(self, failed: EngineFailed) -> str:
-        """Return the start of the engine that ended with the answer, if one did.
+    def _terminated_start(self, failed: EngineFailed) -> str:
+        """Return the engine's start that terminated with the answer, "" for none.
 
-        An engine that is there and forgot what it was at has started again; one that
-        cannot be reached on the same machine is gone.
+        An engine that responds but no longer knows the generation has restarted;
+        one that is unreachable on the same machine has terminated.
         """
-        is_gone = self._resumed > 0 and failed.reason is Reason.UNREACHABLE
-        if is_gone or self._is_forgotten(failed):
-            return self._starts.ended(self._start_number)
+        is_unreachable = self._resumes > 0 and failed.reason is Reason.UNREACHABLE
+        if is_unreachable or self._is_unknown_to_engine(failed):
+            return self._starts.record_termination(self._start_number)
         return ""
 
     def _failed(self, reason: Reason, detail: str) -> EngineFailed:
@@ -154,8 +159,8 @@
         usage, final = failed.usage, failed.usage_final
         if not final:
             usage, final = await self._cancel()
-        end = self._target_end(failed)
-        failure = BufferFailure(failed.reason, failed.detail, usage, final, end)
+        target_end = self._terminated_start(failed)
+        failure = BufferFailure(failed.reason, failed.detail, usage, final, target_end)
         self._run.buffer.fail(failure)
         return usage
 
@@ -164,13 +169,13 @@
             match await self._engine.cancel(self._request.attempt_id):
                 case Done(value=usage):
                     return usage, True
-        # The engine does not say what it consumed and may go on. The whole
-        # reservation is charged, so that the budget cannot be overspent.
-        most = self._request.max_completion_tokens
-        return Usage(self._prompt_bound_tokens, most), False
+        # The engine did not report what it consumed and may still be running.
+        # The whole reservation is charged, so that the budget cannot be overspent.
+        max_tokens = self._request.max_completion_tokens
+        return Usage(self._prompt_bound_tokens, max_tokens), False
 
 
 def _line(data: bytes) -> bytes:
-    # One chunk of JSON a line. A raw line feed is white space in JSON and can
-    # stand in no string, so a blank changes nothing but the framing.
+    # The answer is framed as one JSON document a line. A raw line feed in JSON is
+    # white space and cannot occur within a string, so that a space can replace it.
     return data.replace(b"\n", b" ") + b"\n"
--- a/src/endivegw/daemons/sidecar_frames.py
+++ b/src/endivegw/daemons/sidecar_frames.py
@@ -1,4 +1,4 @@
-"""Turn the sidecar's answers into messages and messages into offers."""
+"""Encode a sidecar's answers as peer messages, and decode start messages."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from endivegw.types import AttemptId, ClientAccountName, RequestIdentity
 
 __all__ = [
-    "answer_gone_frame",
-    "fields_of",
+    "answer_lost_frame",
+    "header_fields",
     "head_frame",
-    "offer_of",
+    "decode_start_order",
     "outcome_frame",
     "refusal",
     "refusal_frame",
 ]
 
-#: What `retry_after_s` says on the wire where no time is known.
+#: Value of ``retry_after_s`` on the wire if no time is known.
 NO_RETRY_TIME = -1.0
 
 
-def offer_of(start: pb.ExecuteStart) -> StartOrder:
-    """Return what a start message asks for."""
+def decode_start_order(start: pb.ExecuteStart) -> StartOrder:
+    """Decode the order in a start message."""
     identity = RequestIdentity(
         ClientAccountName(start.client_account), start.idempotency_key
     )
@@ -39,13 +39,13 @@
     )
 
 
-def fields_of(fields: Iterable[pb.HeaderField]) -> tuple[tuple[str, str], ...]:
+def header_fields(fields: Iterable[pb.HeaderField]) -> tuple[tuple[str, str], ...]:
     """Return header fields as pairs."""
     return tuple((field.name, field.value) for field in fields)
 
 
 def refusal(refused: Refused) -> pb.Refusal:
-    """Return the message for a refusal."""
+    """Encode a refusal."""
     after_s = refused.retry_after_s
     return pb.Refusal(
         reason=refused.reason.value,
@@ -55,14 +55,17 @@
 
 
 def refusal_frame(header: pb.Header, attempt_id: str, refused: Refused) -> pb.Frame:
-    """Return the frame that says that nothing ran, and why."""
+    """Return the frame for an attempt of which nothing ran, with the reason."""
     return pb.Frame(attempt_id=attempt_id, refused=refusal(refused), header=header)
 
 
 def head_frame(
     header: pb.Header, attempt_id: str, head: BufferHead | None, joined: bool
 ) -> pb.Frame:
-    """Return the first frame of an answer; engines have neither status nor fields."""
+    """Return the first frame of an answer.
+
+    :param head: status and header fields of a plain service, None for an engine.
+    """
     message = pb.AnswerHead(joined=joined)
     if head is not None:
         message.status = head.status
@@ -101,11 +104,11 @@
             return refusal_frame(header, attempt_id, outcome)
 
 
-def answer_gone_frame(attempt_id: str) -> pb.Frame:
-    """Return the frame for a request that ran and whose answer is not held."""
+def answer_lost_frame(attempt_id: str) -> pb.Frame:
+    """Return the frame for a request that ran and whose answer is not retained."""
     failed = pb.AnswerFailed(
         reason=Reason.ANSWER_LOST.value,
-        detail="the request was started; its answer is no longer held",
+        detail="the request was started; its answer is no longer retained",
         usage_final=True,
     )
     return pb.Frame(attempt_id=attempt_id, failed=failed)
--- a/src/endivegw/daemons/sidecar_gate.py
+++ b/src/endivegw/daemons/sidecar_gate.py
@@ -1,11 +1,11 @@
-"""The checks that an order passes before anything runs at the target."""
+"""The checks that an order must pass before anything runs at the target."""
 
 from __future__ import annotations
 
 from attrs import define
 
 from endivegw.daemons.headers import PROTOCOL_VERSION
-from endivegw.daemons.sidecar_frames import offer_of
+from endivegw.daemons.sidecar_frames import decode_start_order
 from endivegw.daemons.sidecar_ports import Clock, GrantGate, KnownConfiguration
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from endivegw.requests.starts import (
@@ -23,66 +23,74 @@
     GrantId,
 )
 
-__all__ = ["Gate", "OLDEST_PROTOCOL_VERSION"]
+__all__ = ["AdmissionGate", "OLDEST_PROTOCOL_VERSION"]
 
-#: The oldest version of the messages that this program still understands: in an
-#: upgrade two versions run side by side.
+#: Oldest protocol version that is still accepted. During an upgrade two versions
+#: run side by side.
 OLDEST_PROTOCOL_VERSION = 1
 
 
 @define
-class Gate:
-    """Refuse what must not run; every refusal says that nothing ran.
+class AdmissionGate:
+    """Refuse orders that must not run; a refusal means that nothing ran.
 
     The sidecar is the last place where a stale router can be stopped: one that
-    was paused, cut off from the table, or restarted from an old state.
+    was paused, partitioned from the table, or restarted from an old state.
 
-    :ivar leaving: why no new work is taken, "" where it is taken.
+    :ivar drain_reason: why no new work is accepted, "" if it is accepted.
     """
 
     registry: StartRegistry
     grants: GrantGate
     configuration: KnownConfiguration
     clock: Clock
-    leaving: str = ""
+    drain_reason: str = ""
     _newest_revision: ConfigRevision = ConfigRevision(0)
 
     def check_sender(self, header: pb.Header) -> Refused | None:
-        """Check the version of the messages and the configuration's revision.
+        """Check the protocol version and the configuration's revision.
 
-        A router with an older revision may hold an account or a limit that is
-        no longer in force. It learns the newer one from the answer's header.
+        A router with an older revision may use an account or a limit that is no
+        longer in force. It learns of the newer revision from the answer's header.
         """
         version = header.protocol_version
         if not OLDEST_PROTOCOL_VERSION <= version <= PROTOCOL_VERSION:
-            return Refused(Reason.BAD_REQUEST, f"messages of version {version}")
-        self.configuration.heard_header(header)
+            return Refused(
+                Reason.BAD_REQUEST,
+                f"protocol version {version} is not within"
+                f" {OLDEST_PROTOCOL_VERSION} to {PROTOCOL_VERSION}",
+            )
+        self.configuration.receive_header(header)
         newest = max(self._newest_revision, self.configuration.revision)
         newest = max(newest, ConfigRevision(header.config_revision))
         self._newest_revision = newest
         if self.configuration.revision == 0:
-            return Refused(Reason.NOT_READY, "no configuration was heard yet")
+            return Refused(Reason.NOT_READY, "no configuration received yet")
         if header.config_revision < newest:
-            detail = f"revision {header.config_revision}, {newest} is known"
+            detail = (
+                f"configuration revision {header.config_revision} is older than"
+                f" the latest known revision {newest}"
+            )
             return Refused(Reason.STALE_CONFIGURATION, detail)
         return None
 
     def check(
         self, start: pb.ExecuteStart
     ) -> MayStart | JoinAttempt | AnswerDiscarded | Refused:
-        """Decide on an order; a start has its grant admitted.
+        """Decide on an order, and admit its grant if it may start.
 
-        Joins and replays pass while draining and without a grant: they start
-        nothing, and a planned stop must not cut off a caller that retries.
+        Joins and replays are accepted while draining and without a grant: they
+        start nothing, and a planned stop must not deny a retrying caller its
+        answer.
         """
         refused = self.check_sender(start.header)
         if refused is not None:
             return refused
-        decision = self.registry.decide(offer_of(start), self.clock())
+        decision = self.registry.decide(decode_start_order(start), self.clock())
         if not isinstance(decision, MayStart):
             return decision
-        if self.leaving:
-            return Refused(Reason.DRAINING, self.leaving)
+        if self.drain_reason:
+            return Refused(Reason.DRAINING, self.drain_reason)
         refused = self._check_grant(start)
         return decision if refused is None else refused
 
@@ -90,7 +98,11 @@
         if start.WhichOneof("work") == "service" and not start.grant_id:
             return None
         if start.reservation_tokens <= start.engine.prompt_bound_tokens:
-            return Refused(Reason.BUDGET_EXHAUSTED, "no tokens for an answer")
+            return Refused(
+                Reason.BUDGET_EXHAUSTED,
+                f"reservation of {start.reservation_tokens} tokens leaves none for an"
+                f" answer to at most {start.engine.prompt_bound_tokens} prompt tokens",
+            )
         return self.grants.admit(
             GrantId(start.grant_id),
             BudgetKey(ClientAccountName(start.client_account), start.budget),
--- a/src/endivegw/daemons/sidecar_heartbeats.py
+++ b/src/endivegw/daemons/sidecar_heartbeats.py
@@ -1,4 +1,4 @@
-"""Ask sidecars for their state over the calls between processes."""
+"""Heartbeat calls from a router to sidecars."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class SidecarHeartbeats:
-    """Send heartbeats to sidecars, and keep the connections to them.
+    """Send heartbeats to sidecars, and own the connections to them.
 
     :param connect: opens the connection to the sidecar at an address.
     :param header: returns the header of this process for each message.
-    :param on_header: takes the sidecar's header, for the configuration.
-    :param is_leaving: whether the VM list says that a peer's machine leaves. Its
-        sidecar hears it from each router that reads the list, and then refuses
-        the work of those that cannot read it.
+    :param on_header: receives the sidecar's header, for the configuration.
+    :param is_leaving: returns whether the VM list shows a peer's machine as
+        leaving. The sidecar is notified by each router that reads the list, and
+        then refuses work from routers that cannot read it.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
     async def heartbeat(
         self, peer: PeerAddress, *, timeout_s: float
     ) -> Result[Heartbeat]:
-        """Return what the sidecar answers."""
+        """Send a heartbeat and return the sidecar's answer."""
         request = pb.HeartbeatRequest(header=self._header())
         if self._is_leaving(peer):
             request.leaving_vm = peer.vm
@@ -56,7 +56,7 @@
         return Done(_heartbeat(reply))
 
     def client(self, peer: PeerAddress) -> SidecarClient:
-        """Return the connection to a sidecar, made at its first call."""
+        """Return the connection to a sidecar, opened on first use."""
         client = self._clients.get(peer)
         if client is None:
             client = self._connect(peer.address)
@@ -64,10 +64,10 @@
         return client
 
     def forget(self, peer: PeerAddress) -> None:
-        """Close the connection to a sidecar that is gone for good.
+        """Close the connection to a sidecar that is removed for good.
 
-        Answers may still come over the connections of all others, also of
-        those that are silent or that the list has lost.
+        All other connections stay open, because answers may still arrive over
+        them even if the sidecar is unresponsive or missing from the list.
         """
         client = self._clients.pop(peer, None)
         if client is not None:
--- a/src/endivegw/daemons/sidecar_jobs.py
+++ b/src/endivegw/daemons/sidecar_jobs.py
@@ -1,4 +1,4 @@
-"""Make the job for an attempt out of its start message."""
+"""Create the job for an attempt from its start message."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from endivegw.daemons.engine_starts import EngineStarts
 from endivegw.daemons.sidecar_body import BodyChannel, single_body
 from endivegw.daemons.sidecar_engine import EngineJob
-from endivegw.daemons.sidecar_frames import fields_of
+from endivegw.daemons.sidecar_frames import header_fields
 from endivegw.daemons.sidecar_ports import Clock, GrantGate, SidecarSettings
-from endivegw.daemons.sidecar_run import Run
+from endivegw.daemons.sidecar_run import AttemptRun
 from endivegw.daemons.sidecar_service import ServiceJob
 from endivegw.daemons.sidecar_work import Job
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
@@ -21,19 +21,19 @@
 )
 from endivegw.types import AttemptId, Priority
 
-__all__ = ["EngineTarget", "Jobs", "ServiceTarget", "Target", "engine_of"]
+__all__ = ["EngineTarget", "JobFactory", "ServiceTarget", "Target", "get_engine"]
 
 
 @frozen
 class EngineTarget:
-    """Say that a model engine stands beside the sidecar."""
+    """Hold the model engine beside a sidecar."""
 
     engine: EnginePort
 
 
 @frozen
 class ServiceTarget:
-    """Say that a plain service stands beside the sidecar."""
+    """Hold the plain service beside a sidecar."""
 
     service: ServicePort
 
@@ -41,14 +41,14 @@
 Target = EngineTarget | ServiceTarget
 
 
-def engine_of(target: Target) -> EnginePort | None:
-    """Return the engine, None where there is none."""
+def get_engine(target: Target) -> EnginePort | None:
+    """Return the engine, None for a plain service."""
     return target.engine if isinstance(target, EngineTarget) else None
 
 
 @frozen
-class Jobs:
-    """Make jobs for one target."""
+class JobFactory:
+    """Create jobs for one target."""
 
     target: Target
     grants: GrantGate
@@ -56,10 +56,10 @@
     clock: Clock
     starts: EngineStarts
 
-    def job(
-        self, run: Run, start: pb.ExecuteStart, body: BodyChannel | None
+    def create(
+        self, run: AttemptRun, start: pb.ExecuteStart, body: BodyChannel | None
     ) -> Job | None:
-        """Return the job, None where another kind of target stands here."""
+        """Return the job, None if the target is of another kind."""
         match start.WhichOneof("work"), self.target:
             case "engine", EngineTarget(engine=engine):
                 return EngineJob(
@@ -80,14 +80,14 @@
 
 def _engine_request(start: pb.ExecuteStart) -> EngineRequest:
     work = start.engine
-    room = start.reservation_tokens - work.prompt_bound_tokens
+    available_tokens = start.reservation_tokens - work.prompt_bound_tokens
     return EngineRequest(
         AttemptId(start.attempt_id),
         work.body,
         work.chat,
         work.model,
         work.adapter,
-        min(work.max_completion_tokens, room),
+        min(work.max_completion_tokens, available_tokens),
         Priority(min(start.priority, Priority.BATCH)),
         start.remaining_s,
     )
@@ -96,5 +96,5 @@
 def _service_request(start: pb.ExecuteStart) -> ServiceRequest:
     work = start.service
     return ServiceRequest(
-        AttemptId(start.attempt_id), work.method, work.path, fields_of(work.fields)
+        AttemptId(start.attempt_id), work.method, work.path, header_fields(work.fields)
     )
--- a/src/endivegw/daemons/sidecar_links.py
+++ b/src/endivegw/daemons/sidecar_links.py
@@ -1,4 +1,4 @@
-"""How parts of a router reach the sidecars that it watches."""
+"""Links from a router to the sidecars that it monitors."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from endivegw.requests.steps import CancelAttempt
 from endivegw.types import TargetName, Usage
 
-__all__ = ["CancelWord", "SidecarDirectory", "SidecarLink", "cancel_attempt"]
+__all__ = ["CancelStatus", "SidecarDirectory", "SidecarLink", "cancel_attempt"]
 
-#: How long a sidecar may take to confirm a cancel. The caller waits for it where
-#: its deadline has passed, and gets its answer without it after that.
+#: Timeout for a sidecar to confirm a cancel. A caller whose deadline has passed
+#: waits for the confirmation, and is answered without it after the timeout.
 CANCEL_TIMEOUT_S = 1.0
 
 
 @frozen
 class SidecarLink:
-    """Hold how to reach a sidecar.
+    """Hold the connection to a sidecar.
 
-    :param start_incarnation: what a start must name, so that a sidecar that
-        was replaced meanwhile, and forgot what it ran, refuses it.
+    :param start_incarnation: incarnation that a start must name, so that a
+        sidecar that was replaced in the meantime, and has no record of earlier
+        starts, refuses it.
     """
 
     client: SidecarClient
@@ -32,17 +33,17 @@
 
 
 class SidecarDirectory(Protocol):
-    """Where the connections to sidecars are kept."""
+    """Find the connections to sidecars."""
 
     def find(self, target: TargetName) -> SidecarLink | None:
-        """Return how to reach a target's sidecar, None when it is gone."""
+        """Return the link to a target's sidecar, None if there is none any more."""
 
 
 @frozen
-class CancelWord:
-    """Hold a sidecar's answer to a cancel; all False where it cannot tell.
+class CancelStatus:
+    """Hold a sidecar's answer to a cancel; all flags are False if it cannot tell.
 
-    :param usage: final where ``ended``.
+    :param usage: tokens consumed by the attempt; final if ``ended``.
     """
 
     never_started: bool
@@ -53,8 +54,8 @@
 
 async def cancel_attempt(
     client: SidecarClient, header: pb.Header, step: CancelAttempt
-) -> CancelWord | None:
-    """Bar or stop an attempt; None where no answer came."""
+) -> CancelStatus | None:
+    """Bar or stop an attempt; return None if the sidecar does not answer."""
     request = pb.CancelRequest(
         header=header,
         attempt_id=step.attempt_id,
@@ -65,7 +66,7 @@
         reply = await client.cancel(request, CANCEL_TIMEOUT_S)
     except PeerError:
         return None
-    return CancelWord(
+    return CancelStatus(
         reply.never_started,
         reply.running,
         reply.ended,
--- a/src/endivegw/daemons/sidecar_load.py
+++ b/src/endivegw/daemons/sidecar_load.py
@@ -1,4 +1,4 @@
-"""The target's own figures, read at an interval for the routers' heartbeats."""
+"""Polls an engine's load figures for the answers to routers' heartbeats."""
 
 from __future__ import annotations
 
@@ -10,17 +10,18 @@
 from endivegw.results import Done, Reason, Refused
 from endivegw.targets.ports import EngineLoad, EnginePort
 
-__all__ = ["LoadWatch"]
+__all__ = ["LoadPoller"]
 
-#: Cache changes that one report carries; 20 bytes each, so that heartbeats of
-#: 40 routers a second stay below the control budget of 6 KB a second.
+#: Maximum cache changes in one report. Each takes 20 bytes, so that heartbeats
+#: of 40 routers a second stay below the budget of 6 KB a second for control
+#: traffic.
 MAX_CACHE_CHANGES = 4
 
 
-class LoadWatch:
-    """Poll an engine and keep its last figures.
+class LoadPoller:
+    """Poll an engine and retain its last figures.
 
-    :ivar leaving: whether the engine itself says that it takes no new work.
+    :ivar leaving: whether the engine itself reports that it accepts no new work.
     """
 
     def __init__(
@@ -30,28 +31,29 @@
         self._settings = settings
         self._clock = clock
         self._last: EngineLoad | None = None
-        self._read_s = clock()
+        self._polled_at_s = clock()
         self.leaving = False
 
     async def poll(self) -> None:
-        """Read the figures until cancelled; plain services have none."""
+        """Poll the figures until cancelled; return at once for a plain service."""
         engine = self._engine
         while engine is not None:
             result = await engine.load()
             match result:
                 case Done(value=load):
                     self._last = load
-                    self._read_s = self._clock()
+                    self._polled_at_s = self._clock()
                     self.leaving = False
                 case Refused(reason=Reason.DRAINING):
                     self.leaving = True
             await anyio.sleep(self._settings.load_interval_s)
 
     def report(self, running: int, draining: bool) -> pb.LoadReport:
-        """Return what routers are told.
+        """Return the load report for routers.
 
-        :param running: attempts that this sidecar knows of; for a plain service
-            it is the only figure there is.
+        :param running: running attempts that this sidecar knows of; the only
+            figure available for a plain service.
+        :param draining: whether the sidecar accepts no new work.
         """
         report = pb.LoadReport(
             target=self._settings.target, running=running, draining=draining
@@ -67,7 +69,7 @@
         report.slots = load.slots
         report.tokens_per_s = load.tokens_per_s
         report.models.extend(load.models)
-        report.age_s = load.age_s + self._clock() - self._read_s
+        report.age_s = load.age_s + self._clock() - self._polled_at_s
         for change in load.cache_changes[-MAX_CACHE_CHANGES:]:
             report.cache_events.add(
                 sequence=change.sequence,
--- a/src/endivegw/daemons/sidecar_process.py
+++ b/src/endivegw/daemons/sidecar_process.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process: its configuration, its listener, its planned stop."""
+"""The sidecar as a process: configuration, listener and planned stop."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from endivegw.budgets.gate import GrantGate
 from endivegw.configuration import Snapshot
 from endivegw.configuration.agent import ConfigurationAgent
-from endivegw.daemons.claim_desk import SlotDesk
+from endivegw.daemons.claim_desk import SlotClaimService
 from endivegw.daemons.peer_directory import PeerDirectory
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.peers import PeerSecurity
@@ -23,14 +23,14 @@
 
 __all__ = ["SidecarProcess", "SidecarProcessParts"]
 
-#: Routers must hear that the target leaves before its listener closes; they ask
-#: each sidecar about twice a second.
+#: Time before the listener closes, in which routers must learn that the target
+#: leaves; they send each sidecar about two heartbeats a second.
 _LEAVE_NOTICE_S = 2.0
 
 
-#: What handing back key slots and writing the last checkpoint may take. Where
-#: the table is away for longer, recovery finds out what is left.
-_CLOSE_BOUND_S = 10.0
+#: Timeout for releasing key slots and writing the last checkpoint. If the table
+#: is unavailable for longer, recovery determines what was consumed.
+_CLOSE_TIMEOUT_S = 10.0
 
 
 class _Closable(Protocol):
@@ -40,9 +40,10 @@
 
 @frozen
 class SidecarProcessParts:
-    """Hold what the composition root wired for one sidecar.
+    """Hold the parts of one sidecar, as wired by the composition root.
 
-    :param orders: None beside a plain service, which takes no orders.
+    :param orders: runs the operators' orders; None beside a plain service, which
+        accepts none.
     """
 
     settings: SidecarSettings
@@ -50,7 +51,7 @@
     configuration: ConfigurationAgent
     sidecar: Sidecar
     grants: GrantGate
-    desk: SlotDesk
+    desk: SlotClaimService
     target: _Closable
     security: PeerSecurity
     orders: OrderManager | None
@@ -64,26 +65,26 @@
     def __init__(self, parts: SidecarProcessParts) -> None:
         self._parts = parts
         self._stopped = anyio.Event()
-        self._stop_wanted = anyio.Event()
+        self._stop_requested = anyio.Event()
         self._draining = False
-        parts.configuration.on_change(self._follow_configuration)
+        parts.configuration.on_change(self._on_configuration)
 
     @property
     def stopped(self) -> bool:
-        """Return whether a planned stop has ended."""
+        """Return whether a planned stop is complete."""
         return self._stopped.is_set()
 
     async def run(
         self, *, task_status: TaskStatus[int] = anyio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until :meth:`drain` has ended or the task is cancelled."""
+        """Serve until :meth:`drain` is complete or the task is cancelled."""
         parts = self._parts
         listen = parts.settings.peers.listen
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(parts.configuration.run)
-                tasks.start_soon(self._keep_grants)
-                tasks.start_soon(self._stop_when_wanted)
+                tasks.start_soon(self._run_grants)
+                tasks.start_soon(self._stop_on_request)
                 tasks.start_soon(parts.desk.run)
                 if parts.orders is not None:
                     tasks.start_soon(parts.orders.run)
@@ -104,43 +105,43 @@
                 parts.peer_directory.close()
                 await parts.target.aclose()
 
-    async def _keep_grants(self) -> None:
+    async def _run_grants(self) -> None:
         await self._parts.grants.start()
         await self._parts.grants.run()
 
-    async def _stop_when_wanted(self) -> None:
-        await self._stop_wanted.wait()
+    async def _stop_on_request(self) -> None:
+        await self._stop_requested.wait()
         await self.drain()
 
     async def drain(self) -> None:
-        """Refuse new work, let what runs end, and stop."""
+        """Refuse new work, wait for running work to end, and stop."""
         if self._draining:
-            # Operators stop the target and its VM is told to end as well.
+            # Both operators and the termination of the VM may request a stop.
             await self._stopped.wait()
             return
         self._draining = True
         bound_s = self._parts.settings.process.drain_bound_s
-        whole = await self._parts.sidecar.drain(bound_s)
-        with anyio.move_on_after(_CLOSE_BOUND_S):
+        complete = await self._parts.sidecar.drain(bound_s)
+        with anyio.move_on_after(_CLOSE_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._parts.desk.release)
-                if whole:
+                if complete:
                     tasks.start_soon(self._parts.grants.close)
                 await anyio.sleep(_LEAVE_NOTICE_S)
         self._parts.log.emit(
             events.DAEMON_STOPPED,
             role="sidecar",
             instance_id=self._parts.instance_id,
-            cut_off=0 if whole else "unknown",
+            cut_off=0 if complete else "unknown",
         )
         self._stopped.set()
 
-    def _follow_configuration(self, snapshot: Snapshot) -> None:
-        """Take no new work while operators want the target drained, or stop."""
+    def _on_configuration(self, snapshot: Snapshot) -> None:
+        """Drain, resume or stop as the target's configuration says."""
         if self._draining:
             return
         parameters = snapshot.targets.get(self._parts.settings.target.target)
         drained = parameters is not None and parameters.drained
-        self._parts.sidecar.leave("drained by operators" if drained else "")
+        self._parts.sidecar.set_drain_reason("drained by operators" if drained else "")
         if parameters is not None and parameters.stopped:
-            self._stop_wanted.set()
+            self._stop_requested.set()
--- a/src/endivegw/daemons/sidecar_run.py
+++ b/src/endivegw/daemons/sidecar_run.py
@@ -1,4 +1,4 @@
-"""One attempt at the target: a task of its own, and those who read its answer."""
+"""One attempt at the target, and the streams that read its answer."""
 
 from __future__ import annotations
 
@@ -13,27 +13,31 @@
 from endivegw.results import Reason, Refused
 from endivegw.types import Usage
 
-__all__ = ["READ_BYTES", "Run"]
+__all__ = ["READ_BYTES", "AttemptRun"]
 
-#: Bytes of one data frame: a few tokens while they are made, larger pieces
-#: where a reader catches up.
+#: Maximum bytes of one data frame. Frames hold a few tokens while the answer is
+#: generated, and more when a reader catches up.
 READ_BYTES = 32 * 2**10
 
-#: The least time between two data frames of one engine's answer, but for its
-#: first and its last. A frame costs the router and the sidecar some 0.3 ms CPU
-#: each, whatever it holds: tokens that an engine makes faster than this go
-#: together. A person reads no faster, and the answer ends no later.
-_FRAME_GAP_S = 0.02
+#: Minimum time between two data frames of one engine's answer, except for its
+#: first and its last frame. A frame costs the router and the sidecar some 0.3 ms
+#: CPU each, whatever its size, so that tokens generated faster than this share a
+#: frame. Nobody reads faster, and the answer ends no later.
+_MIN_FRAME_INTERVAL_S = 0.02
 
 
-class Run:
-    """Hold an attempt's answer while it grows, and let any number read it.
+class AttemptRun:
+    """Hold an attempt's answer while it grows, for any number of readers.
 
-    The work runs in a task of its own. A router that dies takes its stream with
-    it and nothing else: the answer grows on, and the caller's retry through
-    another router reads it from where it likes.
+    The work runs in a task of its own. The death of a router breaks only that
+    router's stream: the answer continues to grow, and the caller's retry through
+    another router reads it from any offset.
 
-    :param deadline_s: by which the answer must be whole, on the sidecar's clock.
+    :param order: the order that the attempt carries out.
+    :param buffer: holds the bytes and the outcome of the answer.
+    :param deadline_s: time on the sidecar's clock by which the answer must be
+        complete.
+    :ivar ended_s: time at which the attempt ended, None while it runs.
     """
 
     def __init__(
@@ -43,11 +47,11 @@
         self.buffer = buffer
         self.deadline_s = deadline_s
         self.ended_s: float | None = None
-        #: Whether tokens of a grant are held for it.
+        #: Whether tokens of a grant are reserved for the attempt.
         self.reserved = False
-        #: What was charged; known once it ended.
+        #: Tokens that were charged; valid once the attempt has ended.
         self.usage = Usage()
-        #: Cancelled by the router, for a caller that went away.
+        #: Cancelled by the router if the caller disconnects.
         self.scope = anyio.CancelScope()
         self.ended = anyio.Event()
         self._changed = anyio.Event()
@@ -61,31 +65,35 @@
 
     @property
     def readers(self) -> int:
-        """Return how many streams follow the answer now."""
+        """Return the number of streams that read the answer now."""
         return len(self._readers)
 
-    def changed(self) -> None:
-        """Wake the readers, and the producer where it waits for room."""
+    def notify_changed(self) -> None:
+        """Wake the readers, and the producer if it waits for buffer space."""
         self._changed.set()
         self._changed = anyio.Event()
 
     async def append(self, data: bytes) -> None:
-        """Add bytes, waiting for the slowest reader where the buffer is full."""
+        """Append bytes; wait for the slowest reader while the buffer is full."""
         while self.buffer.full:
             slowest = min(self._readers.values(), default=self.buffer.length_bytes)
             self.buffer.release(slowest)
             if self.buffer.full:
                 await self._changed.wait()
         self.buffer.append(data)
-        self.changed()
+        self.notify_changed()
 
     async def follow(
         self, header: pb.Header, offset_bytes: int, joined: bool
     ) -> AsyncGenerator[pb.Frame, None]:
-        """Yield the answer's frames from an offset to its last one.
+        """Yield the answer's frames from an offset to the last one.
 
-        The head comes only once the target has begun to answer: a target that
-        refuses for certain still ends in a refusal and nothing else.
+        The head is sent only once the target has started to answer, so that a
+        definite refusal by the target is the only frame of its stream.
+
+        :param header: header of this process, sent with the first frame.
+        :param offset_bytes: offset from which the answer is read.
+        :param joined: whether another order started the attempt.
         """
         reader = self._next_reader
         self._next_reader += 1
@@ -96,7 +104,7 @@
                 change = self._changed
                 data = self.buffer.read(offset_bytes, READ_BYTES)
                 if isinstance(data, DataLost):
-                    yield self._lost(offset_bytes)
+                    yield self._answer_lost(offset_bytes)
                     return
                 if not head_sent and (data or self.buffer.head is not None):
                     head_sent = True
@@ -109,8 +117,8 @@
                     offset_bytes += len(data)
                     self._readers[reader] = offset_bytes
                     if self.buffer.full:
-                        self.changed()
-                    await self._gather(offset_bytes)
+                        self.notify_changed()
+                    await self._coalesce(offset_bytes)
                     continue
                 outcome = self.buffer.outcome
                 if outcome is not None:
@@ -122,25 +130,28 @@
                 await change.wait()
         finally:
             del self._readers[reader]
-            self.changed()
+            self.notify_changed()
 
-    async def idle(self) -> None:
-        """Wait for the next change, where one is to come."""
+    async def wait_changed(self) -> None:
+        """Wait for the next change of the answer or its readers."""
         await self._changed.wait()
 
-    async def _gather(self, offset_bytes: int) -> None:
-        """Let some tokens come together, while more of them are being made."""
+    async def _coalesce(self, offset_bytes: int) -> None:
+        """Wait so that several tokens share a frame while the engine generates."""
         buffer = self.buffer
-        # A plain service's bytes come in pieces that are large already.
+        # A plain service's bytes arrive in large pieces already.
         if buffer.head is not None or buffer.outcome is not None or buffer.full:
             return
         if buffer.length_bytes - offset_bytes >= READ_BYTES:
             return
-        with anyio.move_on_after(_FRAME_GAP_S):
+        with anyio.move_on_after(_MIN_FRAME_INTERVAL_S):
             await self.ended.wait()
 
-    def _lost(self, offset_bytes: int) -> pb.Frame:
+    def _answer_lost(self, offset_bytes: int) -> pb.Frame:
         failure = BufferFailure(
-            Reason.ANSWER_LOST, "the answer is no longer held", Usage(), True
+            Reason.ANSWER_LOST,
+            f"the answer is no longer retained from offset {offset_bytes}",
+            Usage(),
+            True,
         )
         return outcome_frame(pb.Header(), self.attempt_id, offset_bytes, failure)
--- a/src/endivegw/daemons/sidecar_work.py
+++ b/src/endivegw/daemons/sidecar_work.py
@@ -1,4 +1,4 @@
-"""All attempts of one sidecar: starting, following, keeping and ending them."""
+"""Runs the attempts of one sidecar and retains their answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from anyio.abc import TaskGroup
 
 from endivegw.daemons.sidecar_ports import Clock, GrantGate, SidecarSettings
-from endivegw.daemons.sidecar_run import Run
+from endivegw.daemons.sidecar_run import AttemptRun
 from endivegw.exceptions import InvariantError
 from endivegw.requests.buffer import AnswerBuffer, BufferEnd
 from endivegw.requests.starts import StartOrder, StartRegistry
@@ -22,23 +22,23 @@
 )
 from endivegw.types import AttemptId, Usage
 
-__all__ = ["Job", "Work"]
+__all__ = ["Job", "AttemptRunner"]
 
 
 class Job(Protocol):
-    """What the target does for one attempt."""
+    """The work of a target for one attempt."""
 
     async def run(self) -> Usage:
-        """Work until the buffer has its outcome; return what is charged."""
+        """Work until the buffer has its outcome; return the usage to charge."""
 
     async def stop(self, reason: Reason) -> Usage:
-        """Free the target and give the buffer its outcome."""
+        """Free the target and set the buffer's outcome; return the usage to charge."""
 
 
-class Work:
-    """Run jobs in tasks of their own and keep their answers within bounds.
+class AttemptRunner:
+    """Run each job in a task of its own, and bound the answers that are retained.
 
-    :ivar registry: what was started.
+    :ivar registry: records which attempts were started.
     """
 
     def __init__(
@@ -56,9 +56,9 @@
         self._clock = clock
         self._log = log
         self._metrics = metrics
-        self._runs: dict[AttemptId, Run] = {}
-        self._ended: OrderedDict[AttemptId, Run] = OrderedDict()
-        self._kept_bytes = 0
+        self._runs: dict[AttemptId, AttemptRun] = {}
+        self._ended: OrderedDict[AttemptId, AttemptRun] = OrderedDict()
+        self._retained_bytes = 0
         self._tasks: TaskGroup | None = None
 
     def attach(self, tasks: TaskGroup) -> None:
@@ -67,28 +67,28 @@
 
     @property
     def running(self) -> int:
-        """Return how many attempts have not ended."""
+        """Return the number of attempts that have not ended."""
         return len(self._runs) - len(self._ended)
 
-    def find(self, attempt_id: AttemptId) -> Run | None:
-        """Return an attempt whose answer is held."""
+    def find(self, attempt_id: AttemptId) -> AttemptRun | None:
+        """Return an attempt whose answer is retained, None for any other."""
         return self._runs.get(attempt_id)
 
-    def new_run(self, order: StartOrder, remaining_s: float) -> Run:
-        """Return a run that is not started yet."""
+    def new_run(self, order: StartOrder, remaining_s: float) -> AttemptRun:
+        """Return a run that has not been started."""
         deadline_s = self._clock() + remaining_s
-        buffer = AnswerBuffer(self._settings.answer_bytes)
-        run = Run(order, buffer, deadline_s)
+        buffer = AnswerBuffer(self._settings.max_answer_bytes)
+        run = AttemptRun(order, buffer, deadline_s)
         run.scope.deadline = anyio.current_time() + remaining_s
         return run
 
-    def start(self, run: Run, job: Job) -> None:
-        """Record the start and hand the work over.
+    def start(self, run: AttemptRun, job: Job) -> None:
+        """Record the start and run the job in a task.
 
-        :raises InvariantError: where it would be a second start.
+        :raises InvariantError: if the attempt was started before.
         """
         if self._tasks is None:
-            raise InvariantError("the sidecar does not serve yet")
+            raise InvariantError("no task group is attached to the sidecar's runner")
         self.registry.start(run.order, self._clock())
         self._runs[run.order.attempt_id] = run
         self._log.emit(
@@ -102,29 +102,29 @@
         self._tasks.start_soon(self._drive, run, job)
 
     def expire(self) -> None:
-        """Give up ended answers that are old, or that memory has no room for."""
+        """Discard ended answers that are too old or exceed the memory limits."""
         now_s = self._clock()
         settings = self._settings
         while self._ended:
             attempt_id, run = next(iter(self._ended.items()))
             in_bounds = (
-                self._kept_bytes <= settings.kept_bytes
-                and len(self._ended) <= settings.kept_answers
+                self._retained_bytes <= settings.max_retained_bytes
+                and len(self._ended) <= settings.max_retained_answers
             )
             age_s = now_s - (run.ended_s or now_s)
-            if in_bounds and age_s < settings.kept_s:
+            if in_bounds and age_s < settings.answer_retention_s:
                 return
-            self._forget(attempt_id)
+            self._discard(attempt_id)
 
     async def wait_idle(self) -> None:
-        """Wait until every attempt has ended and every reader has its answer."""
+        """Wait until every attempt has ended and its readers have the answer."""
         while True:
             busy = [r for r in self._runs.values() if r.ended_s is None or r.readers]
             if not busy:
                 return
-            await busy[0].idle()
+            await busy[0].wait_changed()
 
-    async def _drive(self, run: Run, job: Job) -> None:
+    async def _drive(self, run: AttemptRun, job: Job) -> None:
         started_s = self._clock()
         usage = Usage()
         reason = Reason.CANCELLED
@@ -132,8 +132,8 @@
             with run.scope:
                 usage = await job.run()
         except Exception as error:
-            # A mistake in one attempt must not cut off the others, which share
-            # this process; it is logged as an error and ends its own answer.
+            # An error in one attempt must not abort the others in this process.
+            # It is logged, and only the answer of its own attempt fails.
             reason = Reason.TARGET_FAILED
             self._log.emit(
                 ATTEMPT_CRASHED, attempt_id=run.attempt_id, detail=repr(error)
@@ -141,12 +141,12 @@
         if run.buffer.outcome is None:
             if self._clock() >= run.deadline_s:
                 reason = Reason.DEADLINE
-            # Freeing the engine must go on while the daemon stops.
+            # The engine must be freed even while the daemon stops.
             with anyio.CancelScope(shield=True):
                 usage = await job.stop(reason)
         self._finish(run, usage, started_s)
 
-    def _finish(self, run: Run, usage: Usage, started_s: float) -> None:
+    def _finish(self, run: AttemptRun, usage: Usage, started_s: float) -> None:
         now_s = self._clock()
         attempt_id = run.order.attempt_id
         outcome = run.buffer.outcome
@@ -158,11 +158,11 @@
         else:
             self.registry.ended(attempt_id, complete=isinstance(outcome, BufferEnd))
             self._ended[attempt_id] = run
-            self._kept_bytes += run.buffer.held_bytes
+            self._retained_bytes += run.buffer.held_bytes
         run.ended_s = now_s
         run.usage = usage
         run.ended.set()
-        run.changed()
+        run.notify_changed()
         self._log.emit(
             ATTEMPT_ENDED,
             attempt_id=attempt_id,
@@ -178,13 +178,13 @@
         try:
             self._grants.end(attempt_id, usage, now_s)
         except InvariantError as error:
-            # The target consumed more than was reserved. The ledger has counted
-            # it; the answer and the other attempts are not to suffer for it.
+            # The target consumed more than was reserved. The ledger has recorded
+            # it; neither this answer nor other attempts may fail because of it.
             self._log.emit(ATTEMPT_CRASHED, attempt_id=attempt_id, detail=error.message)
 
-    def _forget(self, attempt_id: AttemptId) -> None:
+    def _discard(self, attempt_id: AttemptId) -> None:
         run = self._ended.pop(attempt_id)
-        self._kept_bytes -= run.buffer.held_bytes
+        self._retained_bytes -= run.buffer.held_bytes
         del self._runs[attempt_id]
         self.registry.forget_answer(attempt_id)
         if run.readers == 0:
--- a/src/endivegw/daemons/slot_map_reader.py
+++ b/src/endivegw/daemons/slot_map_reader.py
@@ -1,4 +1,4 @@
-"""Read the slot map, and keep the last one while the table is away."""
+"""Read the slot map, and retain the last one while the table is unavailable."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 _TIMEOUT_S = 1.0
 
-#: Between two readings while a slot has no owner.
-_INCOMPLETE_S = 0.5
+#: Interval between two reads while a slot has no owner.
+_INCOMPLETE_INTERVAL_S = 0.5
 
-#: How long a fresh router waits for owners.
-_SETTLE_S = 5.0
+#: How long a router that just started waits until every slot has an owner.
+_MAX_SETTLE_S = 5.0
 
 
 async def read_slot_map(table: TablePort, clock: Clock) -> SlotMap | None:
-    """Return the map, None where the table gives no answer.
+    """Return the slot map, None if the table does not answer.
 
-    A slot and its beat make two rows; the listing's usual page holds 500 slots.
+    A slot and its heartbeat take two rows; a page of the listing usually holds
+    500 slots.
     """
     started_s = clock()
     result = await table.scan(SLOT_PARTITION, timeout_s=_TIMEOUT_S)
@@ -34,11 +35,12 @@
 
 
 class SlotMapReader:
-    """Keep a router's copy of the map.
+    """Keep a router's copy of the slot map up to date.
 
-    :ivar current: the last map that was read. While the table is away it
-        freezes, and so does the map itself: no slot changes hands then.
-    :param interval_s: 370 routers at 10 seconds cost 37 reads a second.
+    :param interval_s: interval in seconds between reads; 370 routers at 10
+        seconds cost 37 reads a second.
+    :ivar current: the last map that was read. It stays unchanged while the table
+        is unavailable, as does the map itself: no slot changes its owner then.
     """
 
     def __init__(
@@ -49,41 +51,42 @@
         self._table = table
         self._clock = clock
         self._interval_s = interval_s
-        self._wanted = anyio.Event()
+        self._refresh_requested = anyio.Event()
 
     @property
     def complete(self) -> bool:
-        """Return whether each slot has an owner."""
+        """Return whether every slot has an owner."""
         return all(self.current.owner(n) is not None for n in range(DEFAULT_SLOTS))
 
     def settled(self, now_s: float) -> bool:
-        """Return whether a fresh router may take requests that name a key.
+        """Return whether a new router may accept requests that name a key.
 
-        One that took them before it knows the owners could not find another
-        router's attempt, and would run a repeated request again. The bound is
-        for a table that is away: what may not be repeated waits for its owner
-        in any case.
+        Before it knows the owners it could not find another router's attempt,
+        and would run a repeated request again. The time limit applies while the
+        table is unavailable; requests that must not be repeated wait for the
+        slot's owner in any case.
         """
         if self.complete:
             return True
-        return self._read_at_s is not None and now_s - self._read_at_s > _SETTLE_S
+        return self._read_at_s is not None and now_s - self._read_at_s > _MAX_SETTLE_S
 
     async def run(self) -> None:
-        """Read at the interval, and sooner where an owner is missing or gone."""
+        """Read the map at the interval, and sooner if an owner is missing."""
         while True:
-            self._wanted = anyio.Event()
+            self._refresh_requested = anyio.Event()
             current = await read_slot_map(self._table, self._clock)
             if self._read_at_s is None:
                 self._read_at_s = self._clock()
             if current is not None:
                 self.current = current
-            # Slots without owners are rare: a new fleet, or an owner that ended.
-            wait_s = self._interval_s if self.complete else _INCOMPLETE_S
+            # Slots without an owner are rare: the fleet is new, or an owner
+            # terminated.
+            wait_s = self._interval_s if self.complete else _INCOMPLETE_INTERVAL_S
             with anyio.move_on_after(wait_s):
-                await self._wanted.wait()
-                # Many claims that fail at once ask for one reading.
+                await self._refresh_requested.wait()
+                # Claims that fail at the same time share one read.
                 await anyio.sleep(1.0)
 
-    def want(self) -> None:
-        """Ask for a reading soon."""
-        self._wanted.set()
+    def request_refresh(self) -> None:
+        """Request a read of the map ahead of the interval."""
+        self._refresh_requested.set()
--- a/src/endivegw/daemons/target_reader.py
+++ b/src/endivegw/daemons/target_reader.py
@@ -1,4 +1,4 @@
-"""The registered targets, kept up to date by a feed."""
+"""Feed reader for the registered targets."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class TargetReader:
-    """Keep the dispatcher's targets as the registry has them."""
+    """Keep the dispatcher's targets in step with the registry."""
 
     def __init__(
         self,
@@ -33,45 +33,46 @@
         self._log = log
         self.view = FleetView()
         self._revisions: dict[str, int] = {}
-        #: Starts that are gone for good, whatever the registry still says. A later
-        #: start under the same id is not among them.
+        #: Starts that have been replaced for good, whatever the registry still
+        #: lists. A later start under the same id is not among them.
         self._replaced: set[tuple[InstanceId, int | None]] = set()
-        #: Starts that said that they leave, and when this router heard of it. No row
-        #: that still says ready takes it back: it was written before.
+        #: Starts that announced that they leave, with the time at which this router
+        #: learned of it. A row that still shows a start as ready does not revoke
+        #: the announcement, because the row was written earlier.
         self._leaving: dict[TargetStart, float] = {}
-        #: Rows that could not be used when they were read last.
+        #: Keys of rows that did not decode when they were last read.
         self._unusable: set[str] = set()
 
-    def listed(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in the whole table."""
-        known = set(self.view.targets)
+    def on_listing(self, rows: tuple[StoredRow, ...]) -> None:
+        """Apply all rows of the table; targets without a row are removed."""
+        missing = set(self.view.targets)
         for row in rows:
-            known.discard(InstanceId(row.key))
-            self._take(row)
+            missing.discard(InstanceId(row.key))
+            self._apply_row(row)
         now_s = self._clock()
-        for instance_id in known:
+        for instance_id in missing:
             self.view.remove(instance_id, now_s)
         self.apply()
 
-    def changed(self, row: StoredRow) -> None:
-        """Take in one row."""
-        self._take(row)
+    def on_row(self, row: StoredRow) -> None:
+        """Apply one row."""
+        self._apply_row(row)
         self.apply()
 
-    def lost(self) -> None:
-        """Note that entries may lapse unseen."""
+    def on_unavailable(self) -> None:
+        """Record that entries may expire unnoticed, as the registry is unavailable."""
         self.view.on_registry_unavailable()
 
-    def heard(self) -> None:
-        """Note that the registry answers."""
+    def on_response(self) -> None:
+        """Record that the registry answers."""
         self.view.on_registry_response(self._clock())
 
-    def replaced(self, instance_id: InstanceId, started_ms: int | None) -> None:
+    def on_replaced(self, instance_id: InstanceId, started_ms: int | None) -> None:
         """Drop a start of a target at whose address another instance answered.
 
         Its entry stays in the registry for a while, and every request sent there
-        meanwhile is refused. Where the id has started anew since the request was
-        placed, the new start is left alone.
+        in the meantime is refused. If the target has restarted under the same id
+        since the request was placed, the new start is unaffected.
         """
         self._context.terminations.record_termination(
             TargetStart(instance_id, started_ms), "replaced"
@@ -80,37 +81,38 @@
         target = self.view.targets.get(instance_id)
         if target is not None and target.started_ms == started_ms:
             self.view.drop(instance_id)
-            self._note(target, "replaced", 0, "answer")
+            self._log_change(target, "replaced", 0, "answer")
             self.apply()
 
-    def leaving(self, start: TargetStart, source: str) -> bool:
-        """Send a start of a target nothing more; return whether that is news.
+    def on_leaving(self, start: TargetStart, source: str) -> bool:
+        """Place no more work at a start of a target.
 
-        :param source: ``answer`` or ``peer``.
+        :param source: how this router learned of it, ``answer`` or ``peer``.
+        :returns: whether it was not known before.
         """
         if start in self._leaving:
             return False
         self._leaving[start] = self._clock()
         target = self.view.targets.get(start.instance_id)
         if target is not None and _start_of(target) == start and not target.leaving:
-            self._note(target, "leaving", 0, source)
+            self._log_change(target, "leaving", 0, source)
             self.apply()
         return True
 
     def expire_missing(self) -> None:
-        """Drop targets that stayed missing after the registry's return."""
+        """Drop targets that are still missing after the registry became available."""
         if self.view.expire_missing(self._clock()):
             self.apply()
 
     def apply(self) -> None:
-        """Hand the targets to the dispatcher."""
+        """Pass the usable targets to the dispatcher."""
         views = [self._view(target) for target in self.view.usable()]
         self._context.queue.dispatcher.set_targets(views, self._clock())
         self._context.queue.wake()
 
-    def _take(self, row: StoredRow) -> None:
+    def _apply_row(self, row: StoredRow) -> None:
         if row.revision < self._revisions.get(row.key, 0):
-            # A listing may be older than what the feed said before it.
+            # A listing may be older than a row that the feed delivered before it.
             return
         self._revisions[row.key] = row.revision
         instance_id = InstanceId(row.key)
@@ -119,47 +121,48 @@
             self._unusable.discard(row.key)
             self.view.remove(instance_id, self._clock())
             if before is not None:
-                self._note(before, "removed", row.revision)
+                self._log_change(before, "removed", row.revision)
             return
         try:
             target = self._decoder.target(row.key, row.value)
-            _check_author(target, before)
+            _check_start_present(target, before)
         except ValueError as error:
-            self._give_up(row, instance_id, error)
+            self._drop_unreadable(row, instance_id, error)
             return
         self._unusable.discard(row.key)
         if (target.instance_id, target.started_ms) in self._replaced:
             return
         self.view.put(target)
-        self._note_difference(before, target, row.revision)
+        self._on_entry(before, target, row.revision)
 
-    def _give_up(
+    def _drop_unreadable(
         self, row: StoredRow, instance_id: InstanceId, error: ValueError
     ) -> None:
-        """Use no target by a row that another writer spoilt; say so once."""
+        """Drop a target whose row another writer corrupted; log it only once."""
         self.view.drop(instance_id)
         if row.key in self._unusable:
             return
         self._unusable.add(row.key)
         log_unreadable(self._log, row, error)
 
-    def _note_difference(
+    def _on_entry(
         self, before: DirectTarget | None, target: DirectTarget, revision: int
     ) -> None:
+        """Log and propagate how an entry differs from the one before it."""
         if before is None:
-            self._note(target, "added", revision)
+            self._log_change(target, "added", revision)
             self._context.terminations.record_address(_start_of(target), target.address)
         elif not before.is_incarnation_of(target):
-            # Its sockets died with the earlier start, some without a word: what is
-            # sent there would be lost, and nobody could say whether it ran.
+            # The sockets of the earlier start are dead, some of them without a
+            # reset. A request sent on one would be lost with an unknown outcome.
             self._context.pool.expire(before.address)
-            self._note(target, "restarted", revision)
+            self._log_change(target, "restarted", revision)
             self._context.terminations.record_termination(
                 _start_of(before), "restarted"
             )
             self._context.terminations.record_address(_start_of(target), target.address)
         elif before.leaving != target.leaving:
-            self._note(target, "leaving", revision)
+            self._log_change(target, "leaving", revision)
 
     def _view(self, target: DirectTarget) -> TargetView:
         table = self._context.table
@@ -181,10 +184,10 @@
             copy_s_per_token=copy_s_per_token,
         )
 
-    def _note(
+    def _log_change(
         self, target: DirectTarget, change: str, revision: int, source: str = "row"
     ) -> None:
-        heard_s = self._leaving.get(_start_of(target))
+        leaving_since_s = self._leaving.get(_start_of(target))
         self._log.emit(
             events.TARGET_CHANGED,
             target=target.instance_id,
@@ -193,7 +196,11 @@
             change=change,
             revision=revision,
             source=source,
-            age_s=None if heard_s is None else round(self._clock() - heard_s, 3),
+            age_s=(
+                None
+                if leaving_since_s is None
+                else round(self._clock() - leaving_since_s, 3)
+            ),
         )
 
 
@@ -201,12 +208,15 @@
     return TargetStart(target.instance_id, target.started_ms)
 
 
-def _check_author(target: DirectTarget, before: DirectTarget | None) -> None:
-    """Raise :exc:`ValueError` where an entry is not the target's own.
+def _check_start_present(target: DirectTarget, before: DirectTarget | None) -> None:
+    """Raise :exc:`ValueError` if an entry was not written by the target itself.
 
-    A target that says when it started says so in all its entries.
+    A target that writes its start time writes it in all of its entries.
     """
     if before is None or before.started_ms is None:
         return
     if target.started_ms is None:
-        raise ValueError("the target's start is missing, which earlier entries named")
+        raise ValueError(
+            "the entry has no start time, but earlier entries of the target had"
+            f" {before.started_ms}"
+        )
--- a/src/endivegw/daemons/target_watch.py
+++ b/src/endivegw/daemons/target_watch.py
@@ -1,4 +1,4 @@
-"""Know the targets: what membership says of them, for the dispatcher."""
+"""Monitor targets through the VM list and heartbeats, for the dispatcher."""
 
 from __future__ import annotations
 
@@ -31,19 +31,20 @@
 
 __all__ = ["ChooseTargets", "TargetWatch", "all_targets"]
 
-#: Long enough for three heartbeats of a target that is slow to start.
-_SETTLE_BOUND_S = 5.0
+#: How long a router that just started waits for listed targets; long enough for
+#: three heartbeats of a target that is slow to start.
+_MAX_SETTLE_S = 5.0
 
-#: Heartbeats without an answer after which a fresh router waits no longer.
-_SETTLE_FAILURES = 2
+#: Unanswered heartbeats after which a new router no longer waits for a target.
+_MAX_SETTLE_FAILURES = 2
 
-#: Returns which of the known targets this router watches.
+#: Selects which of the known targets this router monitors.
 ChooseTargets = Callable[[tuple[Peer, ...]], Iterable[PeerAddress]]
 
 
 @frozen
-class _Offer:
-    """Hold that part of a heartbeat which the dispatcher's view is made of."""
+class _TargetState:
+    """Hold the part of a heartbeat that the dispatcher's view is built from."""
 
     target: TargetName
     instance_id: InstanceId
@@ -54,15 +55,19 @@
 
 
 def all_targets(peers: tuple[Peer, ...]) -> Iterable[PeerAddress]:
-    """Watch every target, as small fleets do."""
+    """Select every target, as small fleets do."""
     return (peer.address for peer in peers)
 
 
 class TargetWatch:
-    """Watch targets through the list and heartbeats; feed the dispatcher.
+    """Monitor targets through the VM list and heartbeats; update the dispatcher.
 
+    :param vms: reads the VM list.
     :param connect: opens the connection to the sidecar at an address.
-    :param choose: which targets this router watches.
+    :param header: returns the header of this process for each message.
+    :param on_header: receives the header of each sidecar's answer.
+    :param queue: the queue whose dispatcher is updated.
+    :param choose: selects the targets that this router monitors.
     """
 
     def __init__(
@@ -84,45 +89,46 @@
         self._choose = choose
         self._view = MembershipView(policy)
         self._heartbeats = SidecarHeartbeats(
-            connect, header, on_header, self._list_says_leaving
+            connect, header, on_header, self._is_listed_leaving
         )
         self._agent = MembershipAgent(
             self._view,
             policy,
             vms,
             self._heartbeats,
-            self._watched,
-            self._take_heartbeat,
-            self._take_change,
+            self._monitored,
+            self._on_heartbeat,
+            self._on_change,
             log,
             rng,
             clock,
         )
         self._published: list[TargetView] = []
-        self._offers: dict[PeerAddress, _Offer] = {}
+        self._states: dict[PeerAddress, _TargetState] = {}
         self._listed_at_s: float | None = None
         self._settled = False
 
     @property
     def settled(self) -> bool:
-        """Return whether what is listed was heard, or had time to be.
+        """Return whether the listed targets have responded, or had time to.
 
-        A fresh router that took requests before would refuse them although
-        targets are there. The bound is for a listed target that never answers.
+        A new router that accepted requests earlier would refuse them although
+        there are targets. The time limit is for a listed target that never
+        responds.
         """
         if not self._settled and self._listed_at_s is not None:
             waited_s = self._clock() - self._listed_at_s
-            heard = all(map(_is_heard, self._chosen_peers()))
-            self._settled = heard or waited_s > _SETTLE_BOUND_S
+            responded = all(map(_is_known, self._chosen_peers()))
+            self._settled = responded or waited_s > _MAX_SETTLE_S
         return self._settled
 
     @property
     def seems_isolated(self) -> bool:
-        """Return whether so many targets are silent that the fault is here."""
+        """Return whether so many targets are unresponsive that the fault is local."""
         return self._view.seems_isolated(TARGET_ROLE, self._clock())
 
     def find(self, target: TargetName) -> SidecarLink | None:
-        """Return how to reach a target's sidecar, None when it is gone."""
+        """Return the link to a target's sidecar, None if there is none any more."""
         for peer in self._view.peers(TARGET_ROLE):
             heartbeat = peer.heartbeat
             if heartbeat is None or peer.superseded:
@@ -133,17 +139,17 @@
         return None
 
     async def run(self) -> None:
-        """Watch for as long as the router lives."""
+        """Monitor targets until cancelled."""
         try:
             await self._agent.run()
         finally:
             self._heartbeats.close()
 
-    def _list_says_leaving(self, peer: PeerAddress) -> bool:
-        known = self._view.peer(peer.vm)
-        return known is not None and known.list_leaving
+    def _is_listed_leaving(self, peer: PeerAddress) -> bool:
+        listed = self._view.peer(peer.vm)
+        return listed is not None and listed.list_leaving
 
-    def _watched(self, view: MembershipView) -> frozenset[PeerAddress]:
+    def _monitored(self, view: MembershipView) -> frozenset[PeerAddress]:
         if self._listed_at_s is None and view.list_read:
             self._listed_at_s = self._clock()
         return frozenset(peer.address for peer in self._chosen_peers())
@@ -155,27 +161,27 @@
         chosen = frozenset(self._choose(peers))
         return tuple(peer for peer in peers if peer.address in chosen)
 
-    def _take_heartbeat(
+    def _on_heartbeat(
         self, peer: PeerAddress, heartbeat: Heartbeat, now_s: float
     ) -> None:
-        # What a sidecar offers changes rarely, while going through all targets
+        # A target's state changes rarely, and rebuilding the views of all targets
         # costs about as much as the heartbeat itself.
-        if self._offers.get(peer) != (offer := _offer(heartbeat)):
-            self._offers[peer] = offer
+        if self._states.get(peer) != (state := _target_state(heartbeat)):
+            self._states[peer] = state
             self._publish(now_s)
         if heartbeat.load is not None:
             figures = _figures(heartbeat)
             self._queue.dispatcher.report(heartbeat.target, figures, now_s)
             self._queue.wake()
 
-    def _take_change(self, change: Change) -> None:
+    def _on_change(self, change: Change) -> None:
         if change.after is PeerState.REMOVED:
             self._heartbeats.forget(change.peer)
-            self._offers.pop(change.peer, None)
+            self._states.pop(change.peer, None)
         self._publish(self._clock())
 
     def _publish(self, now_s: float) -> None:
-        """Hand the dispatcher what has changed, if anything has."""
+        """Update the dispatcher if the targets' views have changed."""
         views = self._target_views(now_s)
         if views != self._published:
             self._published = views
@@ -183,37 +189,38 @@
             self._queue.wake()
 
     def _target_views(self, now_s: float) -> list[TargetView]:
-        """Return all targets that were heard; those not for new work drain.
+        """Return the views of all targets that have sent a heartbeat.
 
-        A silent target is offered only for models that nobody else serves:
-        trying it may cost a caller time, and refusing costs the answer.
+        Targets that are not eligible for new work appear as draining. An
+        unresponsive target is offered only for models that no preferred target
+        serves: trying it may cost a caller time, refusing costs it the answer.
         """
-        heard = [peer for peer in self._chosen_peers() if peer.heartbeat is not None]
-        uses = {
+        known = [peer for peer in self._chosen_peers() if peer.heartbeat is not None]
+        eligibility = {
             peer.address: self._view.permitted_actions(
                 peer.address.vm, now_s
             ).eligibility
-            for peer in heard
+            for peer in known
         }
         served: set[str] = set()
-        for peer in heard:
-            if uses[peer.address] is Eligibility.PREFERRED:
+        for peer in known:
+            if eligibility[peer.address] is Eligibility.PREFERRED:
                 served.update(_models(peer))
         views: list[TargetView] = []
-        for peer in heard:
-            match uses[peer.address]:
+        for peer in known:
+            match eligibility[peer.address]:
                 case Eligibility.PREFERRED:
                     views.append(_view(peer, _models(peer), draining=False))
-                case Eligibility.LAST_RESORT if alone := _models(peer) - served:
-                    views.append(_view(peer, alone, draining=False))
+                case Eligibility.LAST_RESORT if unserved := _models(peer) - served:
+                    views.append(_view(peer, unserved, draining=False))
                 case _:
                     views.append(_view(peer, _models(peer), draining=True))
         return views
 
 
-def _offer(heartbeat: Heartbeat) -> _Offer:
+def _target_state(heartbeat: Heartbeat) -> _TargetState:
     load = heartbeat.load
-    return _Offer(
+    return _TargetState(
         heartbeat.target,
         heartbeat.instance_id,
         load.models if load else (),
@@ -223,15 +230,15 @@
     )
 
 
-def _is_heard(peer: Peer) -> bool:
-    """Return whether a target takes work now, or seems not to answer.
+def _is_known(peer: Peer) -> bool:
+    """Return whether a target accepts work, or seems to be unresponsive.
 
-    One that was started together with this router says at first that it takes
-    none, and takes it a heartbeat later.
+    A target that was started together with this router reports at first that it
+    accepts no work, and accepts it one heartbeat later.
     """
     heartbeat = peer.heartbeat
-    takes_work = heartbeat is not None and not heartbeat.draining
-    return takes_work and bool(_models(peer)) or peer.failures >= _SETTLE_FAILURES
+    accepts_work = heartbeat is not None and not heartbeat.draining
+    return accepts_work and bool(_models(peer)) or peer.failures >= _MAX_SETTLE_FAILURES
 
 
 def _models(peer: Peer) -> frozenset[str]:
--- a/src/endivegw_standins/request_world.py
+++ b/src/endivegw_standins/request_world.py
@@ -17,7 +17,7 @@
 from attrs import define, evolve, field
 
 from endivegw.daemons.claim_client import ClaimClient
-from endivegw.daemons.claim_desk import DeskSettings, SlotDesk
+from endivegw.daemons.claim_desk import SlotClaimService, SlotClaimSettings
 from endivegw.daemons.request_driver import PlacedTarget, RequestDriver
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.daemons.sidecar_jobs import ServiceTarget
@@ -93,7 +93,7 @@
 class _Configuration:
     revision = ConfigRevision(1)
 
-    def heard_header(self, header: pb.Header) -> None:
+    def receive_header(self, header: pb.Header) -> None:
         pass
 
     def newer_than(self, revision: ConfigRevision) -> bytes:
@@ -425,8 +425,8 @@
         settings = SidecarSettings(
             TargetName(host.target), instance, AvailabilityZone("z")
         )
-        desk = SlotDesk(
-            DeskSettings(
+        desk = SlotClaimService(
+            SlotClaimSettings(
                 host.vm,
                 settings.target,
                 instance,
--- a/tests/sidecar_fakes.py
+++ b/tests/sidecar_fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes around a sidecar, and one served on a free port."""
+"""Fakes for the parts around a sidecar, and a sidecar served on a free port."""
 
 from __future__ import annotations
 
@@ -27,9 +27,11 @@
 
 
 class FakeEngine:
-    """Make ``pieces`` texts per request, slowly where a pause is set.
+    """Generate ``pieces`` texts per request, with a pause before each.
 
-    :ivar break_after: the stream breaks once after so many pieces.
+    :ivar break_after: number of pieces after which the stream breaks, once.
+    :ivar refuse: whether to refuse every request.
+    :ivar draining: whether to report that no new work is accepted.
     """
 
     def __init__(self, pieces=5, pause_s=0.0, break_after=None):
@@ -78,7 +80,7 @@
 
 
 class FakeService:
-    """Answer each call with its body, after a pause."""
+    """Answer each call with the body of the call, after a pause."""
 
     def __init__(self, pause_s=0.0):
         self.pause_s = pause_s
@@ -93,7 +95,7 @@
 
 
 class FakeGrants:
-    """Admit all grants but the sealed ones."""
+    """Admit every grant that is not sealed."""
 
     def __init__(self):
         self.sealed = set()
@@ -119,10 +121,12 @@
 
 
 class FakeConfiguration:
+    """Hold a configuration revision."""
+
     def __init__(self, revision=1):
         self.revision = revision
 
-    def heard_header(self, header):
+    def receive_header(self, header):
         pass
 
     def newer_than(self, revision):
@@ -130,7 +134,7 @@
 
 
 class Rig:
-    """Hold a served sidecar with what stands around it."""
+    """Hold a served sidecar together with the fakes around it."""
 
     def __init__(self, target, instance="s1", **settings):
         self.grants = FakeGrants()
--- a/tests/test_direct_router.py
+++ b/tests/test_direct_router.py
@@ -1,4 +1,4 @@
-"""A router that calls targets itself, over sockets: what its callers get."""
+"""A router that calls targets directly, over sockets: the answers to its callers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 class DirectRouterTests(unittest.TestCase):
-    """Play callers against one or two routers, two engines and a plain target."""
+    """Send requests to one or two routers with two engines and a plain target."""
 
     def test_plain_requests_and_streams_are_answered(self) -> None:
-        """A calm day: each request gets its target's whole answer."""
+        """Without faults each request gets its target's complete answer."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 plain = await fleet.ask("print", body=b"badge")
                 self.assertEqual((plain.status, plain.body), (200, b"badge"))
@@ -27,28 +27,28 @@
                 self.assertEqual(run.fields["endivegw-tenant"], "hotel")
                 self.assertNotIn("authorization", run.fields)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_each_router_writes_to_a_partition_of_its_own(self) -> None:
         """Twenty routers write their rows several times a second.
 
-        In one partition the store would make them wait for each other, and callers
-        would be refused although their account's tokens are held.
+        In a single partition the store would serialize the writes, and callers would
+        be refused although the router holds tokens of their account.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet(routers=2) as fleet:
                 await fleet.ask("chat", tokens=(100, 40))
                 parts = fleet.store.partitions("token-holders")
                 self.assertEqual(parts, {"vm-0": "vm-0", "vm-1": "vm-1"})
                 self.assertEqual(set(fleet.store.partitions("op").values()), {""})
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_the_page_of_metrics_counts_what_callers_got(self) -> None:
-        """An operator reads requests by outcome, store calls and tokens in hand."""
+    def test_the_metrics_page_counts_requests_by_outcome(self) -> None:
+        """The page has requests by outcome, store calls and the tokens in hand."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 await fleet.ask("print")
                 await fleet.ask("chat", tokens=(100, 40))
@@ -62,15 +62,15 @@
                     'endivegw_store_call_seconds_count{call="write",outcome="done"}',
                 ):
                     self.assertIn(line, page)
-                found = page.split("\nendivegw_hand_tokens ")[1].split()[0]
-                self.assertGreater(float(found), 0)
+                hand_tokens = page.split("\nendivegw_hand_tokens ")[1].split()[0]
+                self.assertGreater(float(hand_tokens), 0)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_what_is_not_allowed_is_refused_at_once(self) -> None:
-        """A wrong key, a wrong path, a request larger than the budget."""
+    def test_requests_that_are_not_allowed_are_refused_at_once(self) -> None:
+        """A wrong key, an unknown path, and a request larger than the budget."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 self.assertEqual((await fleet.ask("print", key="no")).status, 401)
                 self.assertEqual((await fleet.ask("nowhere")).status, 404)
@@ -78,15 +78,15 @@
                 self.assertEqual(large.status, 402)
                 self.assertEqual(fleet.consumed_tokens(), 0)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_stream_that_must_not_run_twice_is_cut(self) -> None:
-        """A target dies in the middle of an event of a stream.
+    def test_a_stream_that_must_not_run_twice_is_truncated(self) -> None:
+        """A target dies while it sends an event of a stream.
 
-        Its caller has the events before it, and the answer does not look complete.
+        The caller gets the events before it, and the answer must not look complete.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 for worker in fleet.workers.values():
                     worker.breaks_after = 2
@@ -94,17 +94,16 @@
                 self.assertEqual(stream.body.count(b"id: "), 2)
                 self.assertFalse(stream.whole)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_stream_that_breaks_off_goes_on_elsewhere(self) -> None:
-        """A target dies in the middle of an event of a resumable stream.
+    def test_a_broken_resumable_stream_continues_at_another_target(self) -> None:
+        """A target dies while it sends an event of a resumable stream.
 
-        Each caller gets each event once, in one answer. The fleet is a fresh one: a
-        target that broke an answer off before gets less work, and chance could give
-        it none.
+        Each caller must get each event once, in one answer. The fleet is a new one,
+        because a target that broke an answer earlier gets less work, perhaps none.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fleet.workers["e-1"].breaks_after = 2
 
@@ -116,7 +115,7 @@
                     )
                     self.assertTrue(stream.whole)
 
-                # Four at a time, so that both targets are asked.
+                # Four requests run at a time, so that both targets get some.
                 async with anyio.create_task_group() as tasks:
                     for _ in range(4):
                         tasks.start_soon(watch)
@@ -127,15 +126,15 @@
                 }
                 self.assertEqual(resumed, {"2"})
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_refusal_without_running_is_a_refusal_for_the_caller(self) -> None:
-        """A full target sheds a request that must not run twice.
+    def test_a_refusal_by_a_target_is_a_refusal_for_the_caller(self) -> None:
+        """An overloaded target sheds a request that must not run twice.
 
-        Its caller is told that it did not run and when to come back.
+        The caller's answer must state that it did not run, and when to retry.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fleet.workers["p-1"].sheds = 1
                 answer = await fleet.ask("print")
@@ -143,16 +142,16 @@
                 self.assertGreater(float(answer.fields["retry-after"]), 0.0)
                 self.assertEqual(fleet.workers["p-1"].runs, [])
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_budget_lasts_to_its_end_and_no_further(self) -> None:
-        """Callers of one account press on two routers until its budget is used up.
+    def test_a_budget_can_be_spent_completely_but_not_exceeded(self) -> None:
+        """Callers of one account use two routers until its budget is exhausted.
 
-        All of it can be spent, whichever router a caller comes to, and not a token
-        more; also while the store is away for some of the time.
+        All of it can be spent through any of the routers, and no token more, even if
+        the store is unavailable for some of the time.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet(routers=2) as fleet:
 
                 async def caller(number: int) -> None:
@@ -176,16 +175,16 @@
                 last = await fleet.ask("chat", tokens=(30_000, 100))
                 self.assertEqual(last.status, 402)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_lost_answer_of_the_store_draws_once(self) -> None:
-        """Writes take effect and their answers never come.
+    def test_a_write_whose_answer_is_lost_draws_tokens_once(self) -> None:
+        """Writes of the store take effect, but their answers are lost.
 
-        Repeated as new ones they would draw the same tokens twice, and callers
-        would be refused although the account has paid.
+        Repeated as new writes they would draw the same tokens twice, and callers
+        would be refused although the account has prepaid tokens.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fleet.store.lost_answers = 2
                 statuses = set()
@@ -199,12 +198,12 @@
                 drawn = fleet.store.documents("token-budgets")["hotel"]["drawn"]
                 self.assertLessEqual(drawn, PREPAID)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_configuration_never_goes_back(self) -> None:
-        """A new version takes hold; an older one that comes late does not."""
+    def test_an_older_configuration_is_ignored(self) -> None:
+        """A new version comes into force; an older one that arrives late does not."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fewer = {**CONFIGURATION, "Version": 9, "Routes": []}
                 fleet.store.put("op", "config", fewer)
@@ -215,16 +214,16 @@
                 await anyio.sleep(0.3)
                 self.assertEqual((await fleet.ask("print")).status, 404)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_an_orderly_stop_cuts_nothing_and_gives_tokens_back(self) -> None:
-        """A router is told to stop.
+    def test_a_graceful_shutdown_aborts_nothing_and_returns_tokens(self) -> None:
+        """A router is drained.
 
-        It fails the balancer's question at once, still answers, then ends; what it
-        held goes back to the budget.
+        Its readiness check fails at once while it still answers requests. The tokens
+        that it held are returned to the budget before it terminates.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 await fleet.ask("chat", tokens=(1900, 100))
                 async with anyio.create_task_group() as tasks:
@@ -237,17 +236,17 @@
                 drawn = fleet.store.documents("token-budgets")["hotel"]["drawn"]
                 self.assertEqual(drawn, fleet.consumed_tokens())
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_stopping_router_takes_no_callers_that_it_would_cut_off(self) -> None:
-        """A balancer with too few other routers goes on sending callers to one that
-        is about to end.
+    def test_a_stopping_router_refuses_callers_that_it_could_not_answer(self) -> None:
+        """A load balancer with too few other routers keeps sending callers to a router
+        that is about to terminate.
 
-        Taken, they would be cut off by its end; turned away, they find another one.
-        The stream that it has goes on to its end.
+        Accepted connections would be closed by the shutdown, refused ones go to
+        another router. A stream that is already running is completed.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 for worker in fleet.workers.values():
                     worker.event_pause_s = 0.7
@@ -267,16 +266,16 @@
                 self.assertTrue(streams[0].whole)
                 self.assertEqual(streams[0].body.count(b"id: "), 5)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_replaced_target_is_asked_once(self) -> None:
+    def test_a_replaced_target_gets_only_one_request(self) -> None:
         """A target crashed, and another instance answers at its address.
 
-        Its entry stays in the registry for seconds; each request sent there would
-        be refused, although the router knows after the first.
+        Its entry stays in the registry for seconds. After the first refusal the router
+        must not send further requests there, which would all be refused.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 worker = fleet.workers["p-1"]
                 worker.instance_id = "p-2"
@@ -289,4 +288,4 @@
                     while (await fleet.ask("print")).status != 200:
                         await anyio.sleep(0.05)
 
-        anyio.run(play)
+        anyio.run(scenario)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave, or that they want a pause."""
+"""Targets that announce in their answers that they leave, or request a pause."""
 
 from __future__ import annotations
 
@@ -8,96 +8,99 @@
 
 from tests.platform_fleet import AskedFleet, platform_fleet
 
-#: Requests that may reach a target while it wants nothing: those that were on their
-#: way as it said so.
-MOST_IN_PAUSE = 2
+#: Maximum requests that may reach a target during its pause: those that were in
+#: flight when it requested the pause.
+MAX_IN_PAUSE = 2
 
 
-async def ask_some(
+async def send_requests(
     fleet: AskedFleet, count: int, route: str = "resumable"
 ) -> list[int]:
-    """Ask four at a time, so that each target gets some; return the statuses."""
-    found: list[int] = []
+    """Send requests four at a time, so that each target gets some.
+
+    :returns: the statuses of the answers.
+    """
+    statuses: list[int] = []
     for worker in fleet.workers.values():
         worker.event_pause_s = 0.02
 
-    async def ask() -> None:
+    async def send() -> None:
         answer = await fleet.ask(route, tokens=(50, 20))
-        found.append(answer.status)
+        statuses.append(answer.status)
 
-    while len(found) < count:
+    while len(statuses) < count:
         async with anyio.create_task_group() as tasks:
-            for _ in range(min(4, count - len(found))):
-                tasks.start_soon(ask)
-    return found
+            for _ in range(min(4, count - len(statuses))):
+                tasks.start_soon(send)
+    return statuses
 
 
-async def ask_until_run(fleet: AskedFleet, name: str) -> None:
-    """Ask until a target has answered."""
+async def send_until_run(fleet: AskedFleet, name: str) -> None:
+    """Send requests until a target has run one."""
     with anyio.fail_after(10):
         while not fleet.workers[name].runs:
-            await ask_some(fleet, 4)
+            await send_requests(fleet, 4)
 
 
 class LeavingTests(unittest.TestCase):
-    """The targets' rows cannot be read, and answers are all that a router hears."""
+    """Targets that leave, which a router learns from their answers only."""
 
-    def test_a_target_that_says_it_leaves_gets_no_more_requests(self) -> None:
-        """Guards against requests to a leaving target that the store does not name."""
+    def test_a_target_that_announces_leaving_gets_no_more_requests(self) -> None:
+        """Guards against requests to a target whose row does not show it as leaving."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fleet.store.unread.add("servers")
                 leaving = fleet.workers["e-1"]
                 leaving.leaving = True
-                await ask_until_run(fleet, "e-1")
+                await send_until_run(fleet, "e-1")
                 ran = len(leaving.runs)
-                self.assertEqual(await ask_some(fleet, 20), [200] * 20)
+                self.assertEqual(await send_requests(fleet, 20), [200] * 20)
                 self.assertEqual(len(leaving.runs), ran)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_a_row_that_still_says_ready_does_not_take_it_back(self) -> None:
-        """Guards against an older row that brings a leaving target back."""
+    def test_a_row_that_still_shows_ready_does_not_revoke_leaving(self) -> None:
+        """Guards against an outdated row that puts a leaving target back into use."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 leaving = fleet.workers["e-1"]
                 leaving.leaving = True
-                await ask_until_run(fleet, "e-1")
+                await send_until_run(fleet, "e-1")
                 ran = len(leaving.runs)
                 row = fleet.store.documents("servers")["e-1"]
                 fleet.store.put("servers", "e-1", {**row, "Sequence": 2})
                 await anyio.sleep(0.3)
-                self.assertEqual(await ask_some(fleet, 20), [200] * 20)
+                self.assertEqual(await send_requests(fleet, 20), [200] * 20)
                 self.assertEqual(len(leaving.runs), ran)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_callers_are_told_at_once_when_all_targets_leave(self) -> None:
-        """Guards against requests that wait for targets that take none."""
+    def test_requests_are_refused_at_once_if_all_targets_leave(self) -> None:
+        """Guards against requests that wait for targets that accept no work."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 fleet.store.unread.add("servers")
                 for name in ("e-1", "e-2"):
                     fleet.workers[name].leaving = True
                 for name in ("e-1", "e-2"):
-                    await ask_until_run(fleet, name)
+                    await send_until_run(fleet, name)
                 with anyio.fail_after(2):
-                    self.assertEqual(await ask_some(fleet, 3), [503] * 3)
+                    self.assertEqual(await send_requests(fleet, 3), [503] * 3)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_the_other_routers_hear_of_it(self) -> None:
-        """Guards against routers that learn of a leaving target one after the other."""
+    def test_the_other_routers_are_notified(self) -> None:
+        """Guards against a leaving target that only one router knows to be leaving."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet(routers=2) as fleet:
                 fleet.store.unread.add("servers")
                 leaving = fleet.workers["e-1"]
                 leaving.leaving = True
-                await ask_until_run(fleet, "e-1")
+                await send_until_run(fleet, "e-1")
                 await anyio.sleep(0.3)
                 ran = len(leaving.runs)
                 for _ in range(20):
@@ -105,62 +108,64 @@
                     self.assertEqual(answer.status, 200)
                 self.assertEqual(len(leaving.runs), ran)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 class PauseTests(unittest.TestCase):
-    """A target turns a request away and says for how long it wants nothing."""
+    """A target refuses a request and states for how long it accepts none."""
 
-    async def _turned_away(self, fleet: AskedFleet, pause_s: str, count: int) -> int:
-        """Let one target ask for a pause; return how many more reach it."""
+    async def _count_refused_in_pause(
+        self, fleet: AskedFleet, pause_s: str, count: int
+    ) -> int:
+        """Let one target request a pause; return how many requests still reach it."""
         pausing = fleet.workers["e-1"]
         pausing.sheds, pausing.pause_s = 1000, pause_s
         with anyio.fail_after(10):
             while not pausing.turned_away:
-                await ask_some(fleet, 4)
+                await send_requests(fleet, 4)
         first = pausing.turned_away
-        await ask_some(fleet, count)
+        await send_requests(fleet, count)
         return pausing.turned_away - first
 
-    def test_a_target_gets_nothing_for_as_long_as_it_asks(self) -> None:
-        """Guards against requests that are pressed on a target that is too full."""
+    def test_a_target_gets_no_requests_during_its_pause(self) -> None:
+        """Guards against requests to a target that is overloaded."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
-                more = await self._turned_away(fleet, "30", 40)
-                self.assertLessEqual(more, MOST_IN_PAUSE)
+                further = await self._count_refused_in_pause(fleet, "30", 40)
+                self.assertLessEqual(further, MAX_IN_PAUSE)
 
-        anyio.run(play)
+        anyio.run(scenario)
 
-    def test_callers_are_told_when_the_first_target_is_back(self) -> None:
-        """Guards against callers that come back too soon, or wait for nothing."""
+    def test_callers_learn_when_the_first_pause_ends(self) -> None:
+        """Guards against callers that retry too soon, or wait without need."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 for name in ("e-1", "e-2"):
                     fleet.workers[name].sheds = 1000
                     fleet.workers[name].pause_s = "20"
-                await ask_some(fleet, 8)
+                await send_requests(fleet, 8)
                 answer = await fleet.ask("resumable", tokens=(50, 20))
                 self.assertEqual(answer.status, 503)
                 self.assertGreater(float(answer.fields["retry-after"]), 15.0)
                 turned_away = sum(w.turned_away for w in fleet.workers.values())
-                self.assertLessEqual(turned_away, 2 * (1 + MOST_IN_PAUSE))
+                self.assertLessEqual(turned_away, 2 * (1 + MAX_IN_PAUSE))
 
-        anyio.run(play)
+        anyio.run(scenario)
 
     def test_a_target_gets_requests_again_after_its_pause(self) -> None:
-        """Guards against a target that is left alone for good."""
+        """Guards against a target that is excluded permanently."""
 
-        async def play() -> None:
+        async def scenario() -> None:
             async with platform_fleet() as fleet:
                 pausing = fleet.workers["e-1"]
-                await self._turned_away(fleet, "0.2", 4)
+                await self._count_refused_in_pause(fleet, "0.2", 4)
                 pausing.sheds = 0
                 await anyio.sleep(0.5)
-                await ask_until_run(fleet, "e-1")
+                await send_until_run(fleet, "e-1")
 
-        anyio.run(play)
+        anyio.run(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/test_row_feed.py
+++ b/tests/test_row_feed.py
@@ -1,4 +1,4 @@
-"""Follow a table of a store that is slow, forgets, or is away."""
+"""Following a table of a store over a slow link."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 class SlowLinkStore:
-    """Hold one row with many versions, of which an answer brings three in its time.
+    """Hold one row with many versions, of which an answer can carry three in time.
 
-    :ivar version: the newest.
+    :ivar version: the newest version.
     """
 
     def __init__(self) -> None:
         self.version = 1
 
     async def list_rows(self, table: str, **options: Any) -> Done[Changes]:
-        """Return the newest version alone."""
+        """Return only the newest version."""
         return Done(self._changes(self.version, self.version))
 
     async def watch(
         self, table: str, after_revision: int, **options: Any
     ) -> Done[Changes] | Unknown:
-        """Return all versions since one, or nothing where they are too many."""
+        """Return all versions after a revision, or time out if they are too many."""
         await anyio.sleep(0.001)
         if self.version - after_revision > 3:
-            return Unknown(Reason.TIMEOUT, "not within its time")
+            return Unknown(Reason.TIMEOUT, "no answer within the timeout")
         return Done(self._changes(after_revision + 1, self.version))
 
     def _changes(self, first: int, last: int) -> Changes:
@@ -44,39 +44,40 @@
 
 
 class Reader:
-    """Note what the feed says."""
+    """Record the newest value that the feed delivers."""
 
     def __init__(self) -> None:
         self.newest = b""
 
-    def listed(self, rows: tuple[StoredRow, ...]) -> None:
-        """Take in a listing."""
+    def on_listing(self, rows: tuple[StoredRow, ...]) -> None:
+        """Receive a listing."""
         for row in rows:
-            self.changed(row)
+            self.on_row(row)
 
-    def changed(self, row: StoredRow) -> None:
-        """Take in a row."""
+    def on_row(self, row: StoredRow) -> None:
+        """Receive a row."""
         self.newest = row.value
 
-    def lost(self) -> None:
+    def on_unavailable(self) -> None:
         """Ignore outages."""
 
-    def heard(self) -> None:
+    def on_response(self) -> None:
         """Ignore answers."""
 
 
 class RowFeedTests(unittest.TestCase):
-    """Bring the newest state, whatever becomes of single answers."""
+    """The newest state must arrive even if single answers time out."""
 
     def test_a_burst_of_versions_over_a_slow_link_arrives(self) -> None:
-        """Configurations of 60 KB come in quick succession, at a link of 5 Mbit/s.
+        """Configurations of 60 KB are written in quick succession, at 5 Mbit/s.
 
-        The feed's answer has all of them and is not there within its time. Asked for
-        again it has still more. The router goes on with an old version, and callers
-        of new routes get 404 long after the operator's change was acknowledged.
+        The feed's answer contains all of them and times out, and each repeated
+        request returns even more. The router would stay at an old version, and
+        callers of new routes would get 404 long after the operator's change was
+        acknowledged.
         """
 
-        async def play() -> None:
+        async def scenario() -> None:
             store, reader = SlowLinkStore(), Reader()
             feed = RowFeed(store, "op", reader, anyio.current_time, EventLog("router"))
             async with anyio.create_task_group() as tasks:
@@ -89,4 +90,4 @@
                         await anyio.sleep(0.005)
                 tasks.cancel_scope.cancel()
 
-        anyio.run(play)
+        anyio.run(scenario)
--- a/tests/test_sidecar_claims.py
+++ b/tests/test_sidecar_claims.py
@@ -1,4 +1,4 @@
-"""Claims over real sockets: routers that die, pause, or lose the table."""
+"""Claims over sockets when routers die or pause, or the table is unavailable."""
 
 import random
 import time
@@ -8,7 +8,7 @@
 import anyio
 
 from endivegw.daemons.claim_client import ClaimClient
-from endivegw.daemons.claim_desk import DeskSettings, SlotDesk
+from endivegw.daemons.claim_desk import SlotClaimService, SlotClaimSettings
 from endivegw.daemons.request_driver import PlacedTarget, RequestDriver
 from endivegw.daemons.slot_map_reader import SlotMapReader
 from endivegw.decisions.retry import RetryBudget, RetryPolicy
@@ -39,7 +39,7 @@
 
 
 class Fleet:
-    """One target with its sidecar, and any number of routers."""
+    """Run one target with its sidecar, and any number of routers."""
 
     def __init__(self, tasks):
         self.tasks = tasks
@@ -48,7 +48,7 @@
         self.faults = TableFaults(latency_s=0.001)
         self.vms = ["vm1"]
         self.rig = None
-        self.desk = None
+        self.claim_service = None
         self.scope = None
         self.instances = 0
         self.ids = iter(range(1000))
@@ -64,7 +64,7 @@
         )
 
     async def start_sidecar(self):
-        """Start a process beside the target; a former one has ended."""
+        """Start a sidecar process; an earlier one must have terminated."""
         self.instances += 1
         self.rig = Rig(self.service, instance=f"s{self.instances}")
         self.scope = anyio.CancelScope()
@@ -72,25 +72,25 @@
         if not self.faults.unavailable:
             await self.owned()
 
-    def desk_at(self, port):
-        settings = DeskSettings(
+    def claim_service_at(self, port):
+        settings = SlotClaimSettings(
             "vm1",
             TARGET,
             InstanceId(f"s{self.instances}"),
             f"127.0.0.1:{port}",
-            watch_s=0.05,
-            near_watch_s=0.05,
+            map_interval_s=0.05,
+            near_map_interval_s=0.05,
             wait_s=0.3,
             rule=AcquisitionRule(1, 0.1),
             limits=LIMITS,
         )
         table = self.table()
-        return SlotDesk(
+        return SlotClaimService(
             settings, table, self, time.monotonic, time.time, EventLog("sidecar")
         )
 
     async def owned(self):
-        while not self.desk.owned_slots():
+        while not self.claim_service.owned_slots():
             await anyio.sleep(0.01)
         await anyio.sleep(0.05)
 
@@ -101,9 +101,9 @@
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 port = await tasks.start(self.rig.sidecar.serve, "127.0.0.1", 0)
-                self.desk = self.desk_at(port)
-                self.rig.sidecar._claims = self.desk
-                tasks.start_soon(self.desk.run)
+                self.claim_service = self.claim_service_at(port)
+                self.rig.sidecar._claims = self.claim_service
+                tasks.start_soon(self.claim_service.run)
                 task_status.started(port)
 
     def router(self):
@@ -111,7 +111,7 @@
 
 
 class RouterFake:
-    """What one router has: its map of slots and its connections."""
+    """Hold a router's slot map and connections, and implement the driver's ports."""
 
     def __init__(self, fleet):
         self.fleet = fleet
@@ -132,7 +132,7 @@
         self.claims.close()
 
     async def run(self, key="k1", deadline_s=3.0):
-        """Send one booking and return how it ended."""
+        """Send one request that must not be repeated; return its result."""
         self.identity = RequestIdentity(ClientAccountName("lobby"), key)
         self.deadline_s = time.monotonic() + deadline_s
         facts = RequestFacts(self.identity, b"d", True, False, self.deadline_s)
@@ -167,8 +167,8 @@
     def body(self):
         return None
 
-    async def claim(self, ask):
-        answer = await self.claims.claim(self.identity, ask)
+    async def claim(self, proposal):
+        answer = await self.claims.claim(self.identity, proposal)
         if self.before_order is not None:
             await self.before_order()
         return answer
@@ -182,7 +182,7 @@
     def reset(self):
         self.received = b""
 
-    def heard(self, header):
+    def on_header(self, header):
         pass
 
     def refused(self, step, refused):
@@ -201,10 +201,11 @@
 
 
 class ClaimTests(unittest.IsolatedAsyncioTestCase):
-    async def test_router_dies_and_the_retry_gets_the_one_answer(self):
+    async def test_retry_after_router_death_gets_the_only_answer(self):
         """
-        A router dies after it sent a booking. The caller's retry through
-        another router gets the whole answer, and the stand is booked once.
+        A router dies after it sent a request that must not run twice. The
+        caller's retry through another router gets the complete answer, and the
+        service is called once.
         """
         async with fleet_of_one() as fleet:
             dying, other = fleet.router(), fleet.router()
@@ -218,61 +219,61 @@
         self.assertEqual(other.received, b"order")
         self.assertEqual(len(fleet.service.bodies), 1)
 
-    async def test_paused_router_wakes_up_too_late(self):
+    async def test_order_of_a_paused_router_does_not_run_again(self):
         """
-        A router is paused between its claim and its order. The caller retries
-        elsewhere and is served; the order that the first one sends when it
-        wakes up does not book the stand a second time.
+        A router is paused between its claim and its order, and the caller is
+        served through another router. The order that the first router sends
+        when it resumes must not run a second time.
         """
         async with fleet_of_one() as fleet:
             paused, other = fleet.router(), fleet.router()
-            awake, asked = anyio.Event(), anyio.Event()
+            resumed, claimed = anyio.Event(), anyio.Event()
 
             async def pause():
-                asked.set()
-                await awake.wait()
+                claimed.set()
+                await resumed.wait()
 
             paused.before_order = pause
             endings = []
             async with anyio.create_task_group() as tasks:
 
-                async def late():
+                async def run_paused():
                     endings.append(await paused.run())
 
-                tasks.start_soon(late)
-                await asked.wait()
+                tasks.start_soon(run_paused)
+                await claimed.wait()
                 ending = await other.run()
-                awake.set()
+                resumed.set()
         self.assertIs(ending.outcome, Outcome.ANSWERED)
         self.assertIs(endings[0].outcome, Outcome.ANSWERED)
         self.assertEqual(paused.received, other.received)
         self.assertEqual(len(fleet.service.bodies), 1)
 
-    async def test_long_outage_of_the_table_is_served_from_memory(self):
+    async def test_claims_are_served_from_memory_in_a_long_table_outage(self):
         """
-        The table is away for long. After a short time bookings are served
-        again, a retry still finds them, and they are in the table when it is
-        back.
+        The table is unavailable for longer than the grace time. Requests are
+        served again, a retry still finds them, and their claims are written
+        once the table is available.
         """
         async with fleet_of_one() as fleet:
             router = fleet.router()
             await router.run("before")
             fleet.faults.unavailable = True
             ending = await router.run("during", deadline_s=8.0)
-            again = await fleet_retry(fleet, router, "during")
+            retried = await retry_elsewhere(fleet, router, "during")
             written = fleet.memory.writes
             fleet.faults.unavailable = False
             await anyio.sleep(2.5)
         self.assertIs(ending.outcome, Outcome.ANSWERED)
-        self.assertIs(again.outcome, Outcome.ANSWERED)
+        self.assertIs(retried.outcome, Outcome.ANSWERED)
         self.assertEqual(len(fleet.service.bodies), 2)
         self.assertGreater(fleet.memory.writes, written)
-        self.assertIs(fleet.desk._kept[0].owner.flushed, True)
+        self.assertIs(fleet.claim_service._owned[0].owner.flushed, True)
 
     async def test_lost_answer_to_the_claim(self):
         """
-        The claim is written and the table's answer to that is lost. The
-        booking is made all the same, once.
+        Claims are written, but the table's answers are lost. Each request is
+        served nevertheless, and runs once.
         """
         async with fleet_of_one() as fleet:
             fleet.faults.lost_answer_share = 0.5
@@ -282,11 +283,11 @@
         self.assertEqual(outcomes, {Outcome.ANSWERED})
         self.assertEqual(len(fleet.service.bodies), 3)
 
-    async def test_restarted_sidecar_leaves_its_bookings_unknown(self):
+    async def test_outcome_is_unknown_after_a_sidecar_restart(self):
         """
-        A sidecar's process restarts right after a booking. The retry finds the
-        claim, but no process remembers whether it ran: it is not run again,
-        and the caller is told that this is unknown.
+        A sidecar restarts right after it ran a request. The retry finds the
+        claim, but no process knows whether the request ran: it must not run
+        again, and its outcome is reported as unknown.
         """
         async with fleet_of_one() as fleet:
             first = fleet.router()
@@ -295,31 +296,32 @@
             await fleet.start_sidecar()
             second = fleet.router()
             ending = await second.run()
-            fresh = await second.run("another")
+            unrelated = await second.run("another")
         self.assertIs(ending.outcome, Outcome.UNKNOWN)
         self.assertIs(ending.reason, Reason.ANSWER_LOST)
-        self.assertIs(fresh.outcome, Outcome.ANSWERED)
+        self.assertIs(unrelated.outcome, Outcome.ANSWERED)
         self.assertEqual(len(fleet.service.bodies), 2)
 
-    async def test_planned_stop_hands_the_slot_back(self):
+    async def test_planned_stop_releases_the_slot(self):
         """
-        A sidecar is stopped as planned. It writes its claims, lets its slot
-        go, and the next process knows every key.
+        A sidecar is stopped as planned. It writes its claims and releases its
+        slot, so that the next owner knows every key and is not tainted.
         """
         async with fleet_of_one() as fleet:
             router = fleet.router()
             await router.run()
-            await fleet.desk.release()
+            await fleet.claim_service.release()
             fleet.stop_sidecar()
             await fleet.start_sidecar()
-            kept = fleet.desk._kept[0]
-        self.assertEqual(kept.owner.claims, 1)
-        self.assertIs(kept.slot.tainted, False)
+            owned = fleet.claim_service._owned[0]
+        self.assertEqual(owned.owner.claims, 1)
+        self.assertIs(owned.slot.tainted, False)
 
-    async def test_no_owner_is_unknown_and_not_called_not_run(self):
+    async def test_without_an_owner_the_outcome_is_unknown(self):
         """
-        The owner of a key's slot is gone and the table is away. The caller is
-        not told that its booking did not run: an earlier try may have.
+        The owner of a key's slot has terminated and the table is unavailable.
+        The caller must not be told that its request did not run, because an
+        earlier attempt may have run.
         """
         async with fleet_of_one() as fleet:
             router = fleet.router()
@@ -331,8 +333,8 @@
         self.assertEqual(fleet.service.bodies, [])
 
 
-async def fleet_retry(fleet, like, key):
-    """Retry through another router that has the same frozen map."""
+async def retry_elsewhere(fleet, first, key):
+    """Retry through another router that has the same outdated slot map."""
     router = fleet.router()
-    router.maps.current = like.maps.current
+    router.maps.current = first.maps.current
     return await router.run(key)
--- a/tests/test_sidecar_execute.py
+++ b/tests/test_sidecar_execute.py
@@ -1,4 +1,4 @@
-"""A sidecar over real sockets: starts, joins, replays, cancels, drains."""
+"""A sidecar over sockets: starts, joins, replays, cancels and drains."""
 
 import unittest
 
@@ -8,23 +8,24 @@
 from endivegw.peers._generated import endivegw_peers_pb2 as pb
 from tests.sidecar_fakes import FakeEngine, FakeService, kind_of, served, text_of
 
-WHOLE = b'{"n":0}\n{"n":1}\n{"n":2}\n{"n":3}\n{"n":4}\n'
+COMPLETE = b'{"n":0}\n{"n":1}\n{"n":2}\n{"n":3}\n{"n":4}\n'
 
 
 class ExecuteTests(unittest.IsolatedAsyncioTestCase):
-    async def test_answer_is_whole(self):
-        """Head, bytes and an end with the right length come in this order."""
+    async def test_answer_is_complete(self):
+        """An answer consists of a head, its bytes, and an end with its length."""
         async with served(FakeEngine()) as rig:
             frames = await rig.frames(rig.start_message())
         self.assertEqual(kind_of(frames[0]), "head")
-        self.assertEqual(text_of(frames), WHOLE)
-        self.assertEqual(frames[-1].end.length, len(WHOLE))
+        self.assertEqual(text_of(frames), COMPLETE)
+        self.assertEqual(frames[-1].end.length, len(COMPLETE))
         self.assertEqual(rig.grants.charged, {"a1": 8})
 
-    async def test_router_death_leaves_the_answer_for_the_retry(self):
+    async def test_retry_after_router_death_gets_the_answer(self):
         """
-        A router dies while it streams; its caller retries through another one
-        with the same key. The caller gets the whole answer, made once.
+        A router dies while it streams, and its caller retries through another
+        one with the same key. The caller must get the complete answer, which is
+        generated once.
         """
         engine = FakeEngine(pause_s=0.05)
         async with served(engine) as rig:
@@ -34,22 +35,22 @@
                     break
             dying.close()
             frames = await rig.frames(rig.start_message(attempt="a2"))
-        self.assertEqual(text_of(frames), WHOLE)
+        self.assertEqual(text_of(frames), COMPLETE)
         self.assertIs(frames[0].head.joined, True)
         self.assertEqual(engine.starts, ["a1"])
 
     async def test_replay_from_an_offset(self):
-        """An ended answer is read again from the bytes that the caller lacks."""
+        """A completed answer can be read again from any offset."""
         async with served(FakeEngine()) as rig:
             await rig.frames(rig.start_message())
-            again = rig.start_message(attempt="a2", resume_offset=8)
-            frames = await rig.frames(again)
-        self.assertEqual(text_of(frames), WHOLE[8:])
+            replay = rig.start_message(attempt="a2", resume_offset=8)
+            frames = await rig.frames(replay)
+        self.assertEqual(text_of(frames), COMPLETE[8:])
 
-    async def test_stopped_sidecar_is_not_delivered(self):
+    async def test_call_to_a_stopped_sidecar_is_not_delivered(self):
         """
-        A router calls a sidecar whose machine is gone. It learns that nothing
-        can have started, and places the request elsewhere.
+        A router calls a sidecar that has terminated. The error must show that
+        nothing can have started, so that the request is placed elsewhere.
         """
         async with served(FakeEngine()) as rig:
             start = rig.start_message()
@@ -59,10 +60,10 @@
                 pass
         client.close()
 
-    async def test_sidecar_death_is_broken(self):
+    async def test_call_to_a_dying_sidecar_is_broken(self):
         """
-        A sidecar dies after it took an order. Its router must not take the
-        request for one that did not run.
+        A sidecar dies after it accepted an order. The router must not conclude
+        that the request did not run.
         """
         async with served(FakeEngine(pause_s=0.1)) as rig:
             client = SidecarClient("127.0.0.1", rig.port)
@@ -74,8 +75,8 @@
 
     async def test_two_accounts_with_one_key(self):
         """
-        Two client accounts choose the same key. Each gets its own answer, not
-        the other one's.
+        Two client accounts choose the same key. Each must get the answer to its
+        own request.
         """
         engine = FakeEngine()
         async with served(engine) as rig:
@@ -93,8 +94,8 @@
         self.assertEqual([kind_of(frame) for frame in frames], ["refused"])
         return frames[0].refused.reason
 
-    async def test_each_check_refuses_before_the_engine_is_asked(self):
-        """Every refusal names its reason, and the engine has seen nothing."""
+    async def test_each_check_refuses_before_the_engine_is_called(self):
+        """Every refusal states its reason, and the engine is not called."""
         engine = FakeEngine()
         async with served(engine) as rig:
             rig.grants.sealed.add("sealed")
@@ -111,10 +112,10 @@
             self.assertEqual(await self.refused(rig, version), "bad_request")
         self.assertEqual(engine.starts, [])
 
-    async def test_stale_revision_is_refused_and_the_newer_one_told(self):
+    async def test_refusal_of_a_stale_revision_names_the_newer_one(self):
         """
-        A router that was cut off comes back with an old configuration. Its
-        work is refused, and the refusal tells it which revision is in force.
+        A router returns with an old configuration after a network partition. Its
+        work is refused, and the refusal names the revision in force.
         """
         engine = FakeEngine()
         async with served(engine) as rig:
@@ -125,17 +126,17 @@
         self.assertEqual(engine.starts, [])
 
     async def test_same_key_with_another_body(self):
-        """A key that was used for another body is a conflict."""
+        """A key that was already used with another body is a conflict."""
         async with served(FakeEngine()) as rig:
             await rig.frames(rig.start_message())
             other = rig.start_message(attempt="a2", body_digest=b"other")
             reason = await self.refused(rig, other)
         self.assertEqual(reason, "idempotency_key_conflict")
 
-    async def test_engine_that_does_not_begin(self):
+    async def test_engine_that_does_not_start(self):
         """
-        The engine turns an order away. The router learns that nothing ran, the
-        tokens are free again, and the doubled order does not start either.
+        The engine refuses an order. The refusal shows that nothing ran, the
+        tokens are released, and a duplicate of the order does not start either.
         """
         engine = FakeEngine()
         engine.refuse = True
@@ -148,10 +149,10 @@
 
 
 class NotRepeatableTests(unittest.IsolatedAsyncioTestCase):
-    async def test_doubled_order_runs_once(self):
+    async def test_duplicate_order_runs_once(self):
         """
-        A stand booking is sent twice, by the network or by two routers. The
-        stand is booked once and both callers get the one answer.
+        An order that must not be repeated is delivered more than once, by the
+        network or by two routers. It runs once, and all callers get its answer.
         """
         service = FakeService(pause_s=0.05)
         async with served(service) as rig:
@@ -167,10 +168,10 @@
         self.assertEqual(service.bodies, [b"order"])
         self.assertEqual([text_of(frames) for frames in answers], [b"order"] * 3)
 
-    async def test_restarted_sidecar_refuses_what_was_bound_to_the_old_one(self):
+    async def test_restarted_sidecar_refuses_orders_for_its_predecessor(self):
         """
-        A sidecar restarts and remembers nothing; a late order for its
-        predecessor arrives. It may have run there, so it does not run again.
+        A sidecar restarts without a record of earlier starts, and a late order
+        for its predecessor arrives. It may have run there and must not run again.
         """
         service = FakeService()
         async with served(service, instance="s1") as rig:
@@ -181,13 +182,13 @@
         self.assertEqual(frames[0].refused.reason, "wrong_instance")
         self.assertEqual(len(service.bodies), 1)
 
-    async def test_broken_upload_does_not_look_whole(self):
+    async def test_broken_upload_does_not_look_complete(self):
         """
-        A router dies in the middle of a request's body. The service is not
-        given the half of it as if it were all.
+        A router dies while it sends a request's body. The service must not
+        receive the truncated body as a complete one.
         """
 
-        async def half():
+        async def truncated_body():
             yield b"half"
             raise ConnectionResetError
 
@@ -197,7 +198,7 @@
             start.service.more_body = True
             client = SidecarClient("127.0.0.1", rig.port)
             with anyio.move_on_after(0.2):
-                async for _ in client.execute(start, half()):
+                async for _ in client.execute(start, truncated_body()):
                     pass
             client.close()
             retry = await rig.frames(rig.service_start("a2", body=b""))
@@ -208,8 +209,8 @@
 class CancelTests(unittest.IsolatedAsyncioTestCase):
     async def test_cancel_before_start_bars_the_attempt(self):
         """
-        A router gives an attempt up whose order is still under way. The cancel
-        arrives first: the order that comes late starts nothing.
+        A router cancels an attempt, and the cancel overtakes the order. The
+        order that arrives late must not start anything.
         """
         engine = FakeEngine()
         async with served(engine) as rig:
@@ -224,10 +225,10 @@
         self.assertEqual(frames[0].refused.reason, "cancelled")
         self.assertEqual(engine.starts, [])
 
-    async def test_cancel_of_an_older_incarnation_tells_nothing(self):
+    async def test_cancel_of_an_older_incarnation_reports_nothing(self):
         """
-        A sidecar restarted between an order and its cancel. It cannot know
-        whether the order ran, and must not say that it did not.
+        A sidecar restarts between an order and its cancel. It cannot know
+        whether the order ran, and must not report that it did not.
         """
         async with served(FakeEngine()) as rig:
             request = pb.CancelRequest(
@@ -237,11 +238,11 @@
         self.assertIs(reply.never_started, False)
         self.assertIs(reply.ended, False)
 
-    async def test_engine_counts_what_a_lost_sidecar_cannot(self):
+    async def test_usage_comes_from_the_engine_after_a_sidecar_restart(self):
         """
-        A sidecar is replaced while its engine works. The router asks the new
-        one what the attempt consumed; the engine knows, and the account is
-        charged that and not the whole reservation.
+        A sidecar is replaced while its engine generates, and the router cancels
+        at the new one. The usage must come from the engine, so that the account
+        is not charged the whole reservation.
         """
         engine = FakeEngine(pieces=500, pause_s=0.02)
         async with served(engine) as rig:
@@ -261,8 +262,8 @@
 
     async def test_cancel_frees_engine_and_reservation(self):
         """
-        A caller hangs up in the middle of its answer. The engine stops and only
-        what it made is charged.
+        A caller disconnects during its answer. The engine is stopped, and only
+        the tokens that it generated are charged.
         """
         engine = FakeEngine(pieces=500, pause_s=0.02)
         async with served(engine) as rig:
@@ -277,10 +278,10 @@
         self.assertEqual(engine.cancelled, ["a1"])
         self.assertEqual(rig.grants.charged, {"a1": 4})
 
-    async def test_cancel_of_one_caller_leaves_the_other_its_answer(self):
+    async def test_cancel_of_one_caller_does_not_stop_the_other(self):
         """
-        Two callers read the same answer, and one of them hangs up. The other
-        one still gets the whole of it.
+        Two callers read the same answer, and one of them disconnects. The other
+        one must still get the complete answer.
         """
         engine = FakeEngine(pause_s=0.1)
         async with served(engine) as rig:
@@ -298,13 +299,13 @@
                 request = pb.CancelRequest(header=rig.header(), attempt_id="a1")
                 reply = await rig.client.cancel(request, 2.0)
         self.assertIs(reply.running, True)
-        self.assertEqual(text_of(answers[0]), WHOLE)
+        self.assertEqual(text_of(answers[0]), COMPLETE)
         self.assertEqual(engine.cancelled, [])
 
     async def test_deadline_frees_the_engine(self):
         """
-        An engine is too slow for a request's deadline. The answer ends in an
-        explicit error, and the engine is freed.
+        An engine does not complete an answer before the deadline. The answer
+        ends in an explicit error, and the engine is freed.
         """
         engine = FakeEngine(pieces=500, pause_s=0.02)
         async with served(engine) as rig:
@@ -318,31 +319,31 @@
 class EngineStreamTests(unittest.IsolatedAsyncioTestCase):
     async def test_broken_engine_stream_is_resumed(self):
         """
-        The connection to the engine breaks while it generates. The answer goes
-        on where it stopped, and the caller notices a short pause at most.
+        The connection to the engine breaks while it generates. The answer
+        continues where it stopped, with at most a short pause for the caller.
         """
         engine = FakeEngine(break_after=2)
         async with served(engine, resume_pause_s=0.01) as rig:
             frames = await rig.frames(rig.start_message())
-        self.assertEqual(text_of(frames), WHOLE)
+        self.assertEqual(text_of(frames), COMPLETE)
         self.assertEqual(engine.resumes, [2])
         self.assertEqual(engine.starts, ["a1"])
 
     async def test_stream_that_cannot_be_resumed_ends_in_an_error(self):
         """
-        The engine is gone for good in the middle of an answer. The answer ends
-        in an explicit error, not as if it were whole.
+        The stream from the engine breaks during an answer and cannot be resumed.
+        The answer must end in an explicit error and not look complete.
         """
         engine = FakeEngine(break_after=2)
-        async with served(engine, resume_tries=0) as rig:
+        async with served(engine, max_resumes=0) as rig:
             frames = await rig.frames(rig.start_message())
         self.assertEqual(kind_of(frames[-1]), "failed")
         self.assertIs(frames[-1].failed.usage_final, True)
 
-    async def test_engine_beyond_its_bound_is_stopped(self):
+    async def test_engine_beyond_its_limit_is_stopped(self):
         """
-        An engine ignores how many tokens it may make. It is stopped before the
-        client account pays for more than was reserved.
+        An engine ignores its token limit. It must be stopped before the client
+        account is charged for more than was reserved.
         """
         engine = FakeEngine(pieces=10)
         async with served(engine) as rig:
@@ -354,8 +355,8 @@
 class DrainTests(unittest.IsolatedAsyncioTestCase):
     async def test_drain_refuses_new_work_and_lets_running_work_end(self):
         """
-        A sidecar is stopped as planned while it streams. The running answer
-        comes whole, a retry still joins it, and new work is refused.
+        A sidecar is stopped as planned while it streams. The running answer is
+        completed, a retry still joins it, and new work is refused.
         """
         engine = FakeEngine(pause_s=0.05)
         async with served(engine) as rig:
@@ -371,12 +372,12 @@
                 await anyio.sleep(0.02)
                 tasks.start_soon(call, "joined", rig.start_message("a2"))
                 tasks.start_soon(call, "new", rig.start_message("a3", "k3"))
-        self.assertEqual(text_of(answers["running"]), WHOLE)
-        self.assertEqual(text_of(answers["joined"]), WHOLE)
+        self.assertEqual(text_of(answers["running"]), COMPLETE)
+        self.assertEqual(text_of(answers["joined"]), COMPLETE)
         self.assertEqual(answers["new"][0].refused.reason, "draining")
 
     async def test_drain_ends_at_its_bound(self):
-        """Work that never ends holds up a planned stop for the bound only."""
+        """Work that never ends delays a planned stop by the bound at most."""
         async with served(FakeEngine(pieces=1, pause_s=30)) as rig:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(rig.frames, rig.start_message())
@@ -384,10 +385,10 @@
                 self.assertIs(await rig.sidecar.drain(0.1), False)
                 tasks.cancel_scope.cancel()
 
-    async def test_own_sign_of_the_target(self):
+    async def test_engine_that_reports_draining_gets_no_new_work(self):
         """
-        An engine says itself that it is leaving. Its sidecar refuses new work,
-        also from a router that is cut off from the table.
+        An engine itself reports that it accepts no new work. Its sidecar refuses
+        new work, also from a router that is partitioned from the table.
         """
         engine = FakeEngine()
         engine.draining = True
@@ -395,31 +396,31 @@
             await anyio.sleep(0.05)
             frames = await rig.frames(rig.start_message())
             request = pb.HeartbeatRequest(header=rig.header())
-            beat = await rig.client.heartbeat(request, 1.0)
+            reply = await rig.client.heartbeat(request, 1.0)
         self.assertEqual(frames[0].refused.reason, "draining")
-        self.assertIs(beat.load.draining, True)
+        self.assertIs(reply.load.draining, True)
 
-    async def test_word_of_the_vm_list_reaches_the_sidecar(self):
+    async def test_sidecar_learns_from_a_router_that_its_vm_leaves(self):
         """
-        The VM list says that a target's machine leaves. One router has read
-        it; work of another one that is cut off from the list is refused, too.
+        The VM list shows a target's machine as leaving, and one router has read
+        it. Work from a router that is partitioned from the list is refused too.
         """
         engine = FakeEngine()
         async with served(engine, vm="vm-7") as rig:
             other = pb.HeartbeatRequest(header=rig.header(), leaving_vm="vm-6")
-            beat = await rig.client.heartbeat(other, 1.0)
-            self.assertIs(beat.leaving, False)
-            told = pb.HeartbeatRequest(header=rig.header(), leaving_vm="vm-7")
-            beat = await rig.client.heartbeat(told, 1.0)
+            reply = await rig.client.heartbeat(other, 1.0)
+            self.assertIs(reply.leaving, False)
+            notice = pb.HeartbeatRequest(header=rig.header(), leaving_vm="vm-7")
+            reply = await rig.client.heartbeat(notice, 1.0)
             frames = await rig.frames(rig.start_message())
-        self.assertIs(beat.leaving, True)
+        self.assertIs(reply.leaving, True)
         self.assertEqual(frames[0].refused.reason, "draining")
         self.assertEqual(engine.starts, [])
 
     async def test_sidecar_without_configuration_is_not_offered(self):
         """
-        A sidecar was just started and has no configuration yet. Its heartbeat
-        says that it takes no work, so that callers' requests go elsewhere.
+        A sidecar has just started and has no configuration yet. Its heartbeat
+        reports it as draining, so that requests are placed elsewhere.
         """
         async with served(FakeEngine()) as rig:
             rig.configuration.revision = 0
@@ -430,16 +431,16 @@
         self.assertIs(before.load.draining, True)
         self.assertIs(after.load.draining, False)
 
-    async def test_drained_target_is_not_called_leaving(self):
+    async def test_drained_target_is_not_reported_as_leaving(self):
         """
-        Operators drain a target and resume it. Routers hear that it takes no
-        work for now; had they heard that it leaves, they would never use it again.
+        Operators drain a target and resume it. It must be reported as draining
+        only: routers never use a target again that was reported as leaving.
         """
         async with served(FakeEngine()) as rig:
             request = pb.HeartbeatRequest(header=rig.header())
-            rig.sidecar.leave("drained by operators")
+            rig.sidecar.set_drain_reason("drained by operators")
             drained = await rig.client.heartbeat(request, 1.0)
-            rig.sidecar.leave("")
+            rig.sidecar.set_drain_reason("")
             resumed = await rig.client.heartbeat(request, 1.0)
         self.assertIs(drained.load.draining, True)
         self.assertIs(drained.leaving, False)
--- a/tests/test_table_rows.py
+++ b/tests/test_table_rows.py
@@ -90,10 +90,10 @@
         """One termination of an engine must not be counted once per generation."""
         starts = EngineStarts(InstanceId("s-1"))
         first = second = starts.number
-        self.assertEqual(starts.ended(first), "s-1.1")
+        self.assertEqual(starts.record_termination(first), "s-1.1")
         later = starts.number
-        self.assertEqual(starts.ended(second), "s-1.1")
-        self.assertEqual(starts.ended(later), "s-1.2")
+        self.assertEqual(starts.record_termination(second), "s-1.1")
+        self.assertEqual(starts.record_termination(later), "s-1.2")
 
 
 if __name__ == "__main__":
