--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -1,4 +1,4 @@
-"""Entries of targets: other writers' rows, and targets that start again under an id."""
+"""Registry entries of targets: foreign rows, and restarts under the same id."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 def row(key: str, entry: Any, revision: int) -> StoredRow:
-    """Return a row of the registry; bytes are taken as they are."""
+    """Return a row of the registry; an entry in bytes is not encoded."""
     value = entry if isinstance(entry, bytes) else json.dumps(entry).encode()
     return StoredRow("servers", key, value, revision, entry is None)
 
 
 def work(number: int, digests: tuple[bytes, ...] = ()) -> WorkItem:
-    """Return a request for the plain service of these tests."""
+    """Return a request for the service of these tests."""
     return WorkItem(
         f"r-{number}",
         "hotel",
@@ -60,7 +60,7 @@
 
 
 class ReaderCase(unittest.TestCase):
-    """Feed rows to a reader, and ask where work goes."""
+    """Pass rows to a reader, and query where the dispatcher places work."""
 
     def setUp(self) -> None:
         self.dispatcher = Dispatcher(
@@ -79,35 +79,37 @@
         self.placed = 0
 
     def place(self) -> Placement | None:
-        """Return where one request goes, None where it goes nowhere."""
+        """Return the placement of one request, None if it is not placed."""
         self.placed += 1
-        found = self.dispatcher.submit(work(self.placed), 0.0)
-        return found if isinstance(found, Placement) else None
+        result = self.dispatcher.submit(work(self.placed), 0.0)
+        return result if isinstance(result, Placement) else None
 
 
 class ForeignEntryTests(ReaderCase):
-    """Rows that another writer left among the targets' own."""
+    """Rows of another writer among the rows of targets."""
 
-    def test_a_field_that_is_missing_or_of_another_type_names_no_target(self) -> None:
-        """Some other program writes into the registry.
+    def test_an_entry_with_a_missing_or_mistyped_field_is_rejected(self) -> None:
+        """Another program writes a row into the registry.
 
-        Its row looks like a target's but for one field. A router that reads it
-        generously sends callers to an address where nobody answers for them.
+        The row differs from a target's in one field only. A router that accepts it
+        would send callers to an address where no target answers.
         """
         decode_target("i", json.dumps(ENTRY).encode())
         others: list[Any] = ["7", True, 1.5, None, [], {}, -1, ""]
         for name, value in ENTRY.items():
-            rest = {key: kept for key, kept in ENTRY.items() if key != name}
-            bad = [rest]
-            bad += [
+            rest = {key: field for key, field in ENTRY.items() if key != name}
+            invalid = [rest]
+            invalid += [
                 {**rest, name: other}
                 for other in others
                 if type(other) is not type(value) or other in (-1, "")
             ]
             if name == "ColdRemainingMs":
-                # Any number is one; a start may even seem to be over already.
-                bad = [entry for entry in bad if entry.get(name) not in (1.5, -1)]
-            for entry in bad:
+                # Any number is valid; a negative one means that the start is over.
+                invalid = [
+                    entry for entry in invalid if entry.get(name) not in (1.5, -1)
+                ]
+            for entry in invalid:
                 with self.assertRaises(DecodeError, msg=str(entry)):
                     decode_target("i", json.dumps(entry).encode())
         for started in ("1790000000000", True, 1.79e12, None, -1):
@@ -139,7 +141,7 @@
     def test_any_row_is_a_target_or_an_error(
         self, changes: dict[str, Any], noise: bytes
     ) -> None:
-        """Whatever stands in the registry, reading it never ends the router."""
+        """Decoding any row must raise no other error, which would end a router."""
         for value in (json.dumps({**ENTRY, **changes}).encode(), noise):
             try:
                 target = decode_target("i", value)
@@ -147,114 +149,118 @@
                 continue
             self.assertGreaterEqual(target.slots, 1)
 
-    def test_a_spoilt_row_drops_its_target_and_no_other(self) -> None:
-        """Another writer overwrites the row of a target that served until then.
+    def test_a_corrupt_row_drops_its_target_and_no_other(self) -> None:
+        """Another writer overwrites the row of a target that is in use.
 
-        Callers must not be sent there any more, and the other targets must go on;
-        the log says it once, however often the row is written again.
+        Callers must not be sent there any more, and other targets must stay in use.
+        It is logged once, however often the row is overwritten.
         """
         with logbook.TestHandler() as lines:
-            self.reader.listed((row("a", ENTRY, 1), row("b", ENTRY, 2)))
-            for revision, spoilt in enumerate((b"\xff", {"Slots": "8"}, b"{"), 3):
-                self.reader.changed(row("a", spoilt, revision))
-            found = {self.place().target for _ in range(20)}
-            self.assertEqual(found, {"b"})
-            said = [line for line in lines.records if "unreadable" in line.message]
-            self.assertEqual(len(said), 1)
-            self.reader.changed(row("a", ENTRY, 9))
+            self.reader.on_listing((row("a", ENTRY, 1), row("b", ENTRY, 2)))
+            for revision, corrupt in enumerate((b"\xff", {"Slots": "8"}, b"{"), 3):
+                self.reader.on_row(row("a", corrupt, revision))
+            used = {self.place().target for _ in range(20)}
+            self.assertEqual(used, {"b"})
+            logged = [line for line in lines.records if "unreadable" in line.message]
+            self.assertEqual(len(logged), 1)
+            self.reader.on_row(row("a", ENTRY, 9))
             self.assertIn("a", {self.place().target for _ in range(20)})
 
-    def test_bytes_that_no_store_should_hold_hide_no_other_row(self) -> None:
+    def test_a_malformed_value_does_not_hide_other_rows(self) -> None:
         """One row of a listing has a value that is not in the store's encoding.
 
-        The others hold; a router that starts now must come to know its targets.
+        The other rows stay valid; a router that starts now must learn its targets.
         """
-        good = base64.b64encode(b"{}").decode()
+        valid = base64.b64encode(b"{}").decode()
         content = {
             "Rows": [
                 {"Table": "t", "Key": "a", "Value": "%%", "ResourceVersion": 1},
-                {"Table": "t", "Key": "b", "Value": good, "ResourceVersion": 2},
+                {"Table": "t", "Key": "b", "Value": valid, "ResourceVersion": 2},
                 {"Table": "t", "Key": "c", "Value": 7, "ResourceVersion": 3},
             ]
         }
         self.assertEqual([found.value for found in _rows(content)], [b"", b"{}", b""])
 
-    def test_an_entry_without_a_start_is_not_a_target_where_others_say_theirs(
+    def test_an_entry_without_a_start_time_is_not_used_if_others_have_one(
         self,
     ) -> None:
-        """Each target says when it started, and one row doesn't.
+        """All targets write their start time, and one entry lacks it.
 
-        In a fleet where no target says it, all are used.
+        Such an entry comes from another writer. In a fleet where no target writes its
+        start time, all entries are used.
         """
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.listed((row("a", own, 1), row("b", own, 2), row("c", ENTRY, 3)))
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_listing(
+            (row("a", with_start, 1), row("b", with_start, 2), row("c", ENTRY, 3))
+        )
         self.assertEqual({self.place().target for _ in range(30)}, {"a", "b"})
-        self.reader.changed(row("a", ENTRY, 4))
+        self.reader.on_row(row("a", ENTRY, 4))
         self.assertNotIn("a", {self.place().target for _ in range(30)})
 
 
 class RestartTests(ReaderCase):
-    """A target that starts again under the id that it had."""
+    """A target that restarts under the same id."""
 
-    def test_nothing_of_the_earlier_start_holds(self) -> None:
-        """A target crashes and is back a second later under its id.
+    def test_state_of_the_earlier_start_is_dropped(self) -> None:
+        """A target crashes and restarts a second later under the same id.
 
-        It has read no prompts and is not slow. A router that takes it for the same
-        one waits for work that died, and counts on prompt parts that are gone.
+        It has no cached prompts and is not slow. A router that does not detect the
+        restart would wait for work that was lost, and rely on lost cache entries.
         """
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.listed((row("a", own, 1),))
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_listing((row("a", with_start, 1),))
         for _ in range(8):
             self.assertIsNotNone(self.place())
         self.assertEqual(self.dispatcher.local_load()["a"].running, 8)
         for started in (STARTED_MS + 900, STARTED_MS - 70_000):
-            # Its clock may have gone back meanwhile.
-            self.reader.changed(row("a", {**own, "born": started}, self.placed))
+            # The target's clock may have been set back in the meantime.
+            self.reader.on_row(row("a", {**with_start, "born": started}, self.placed))
             self.assertEqual(self.dispatcher.local_load()["a"].running, 0)
             placement = self.place()
             self.assertEqual(placement.started_ms, started)
 
     def test_connections_of_the_earlier_start_are_not_used(self) -> None:
-        """The machine lost power, so that no connection was reset.
+        """A machine loses power, so that no connection is reset.
 
-        What is sent on a kept one gets no answer, and nobody can say whether it ran.
+        A request on a pooled connection would get no answer, and its outcome would
+        be unknown.
         """
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.listed((row("a", own, 1),))
-        kept = types.SimpleNamespace(
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_listing((row("a", with_start, 1),))
+        pooled = types.SimpleNamespace(
             address="10.0.0.1:80", idle_since_s=0.0, keep_alive_s=None
         )
-        self.pool._idle["10.0.0.1:80"] = [kept]
-        self.reader.changed(row("a", {**own, "Sequence": 9}, 2))
-        self.assertTrue(self.pool._usable(kept, require_fresh=True))
-        self.reader.changed(row("a", {**own, "born": STARTED_MS + 1}, 3))
-        self.assertFalse(self.pool._usable(kept, require_fresh=False))
+        self.pool._idle["10.0.0.1:80"] = [pooled]
+        self.reader.on_row(row("a", {**with_start, "Sequence": 9}, 2))
+        self.assertTrue(self.pool._usable(pooled, require_fresh=True))
+        self.reader.on_row(row("a", {**with_start, "born": STARTED_MS + 1}, 3))
+        self.assertFalse(self.pool._usable(pooled, require_fresh=False))
 
     def test_a_replaced_start_does_not_bar_the_next(self) -> None:
-        """Another instance answered at a target's address, so that it was dropped.
+        """A target was dropped because another instance answered at its address.
 
-        Later it is back under the same id and must get work again, while its old
-        entry must not bring it back.
+        Its old entry must not restore it, but once it restarts under the same id
+        it must get work again.
         """
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.listed((row("a", own, 1),))
-        self.reader.replaced(InstanceId("a"), STARTED_MS)
-        self.reader.changed(row("a", {**own, "Sequence": 9}, 2))
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_listing((row("a", with_start, 1),))
+        self.reader.on_replaced(InstanceId("a"), STARTED_MS)
+        self.reader.on_row(row("a", {**with_start, "Sequence": 9}, 2))
         self.assertIsNone(self.place())
-        self.reader.changed(row("a", {**own, "born": STARTED_MS + 5000}, 3))
+        self.reader.on_row(row("a", {**with_start, "born": STARTED_MS + 5000}, 3))
         self.assertIsNotNone(self.place())
 
-    def test_a_late_answer_about_the_earlier_start_leaves_the_next_alone(self) -> None:
-        """A request was sent before the restart, and its refusal comes after it."""
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.listed((row("a", own, 1),))
-        self.reader.changed(row("a", {**own, "born": STARTED_MS + 5000}, 2))
-        self.reader.replaced(InstanceId("a"), STARTED_MS)
+    def test_a_late_refusal_by_the_earlier_start_does_not_drop_the_next(self) -> None:
+        """A request is sent before a restart, and its refusal arrives after it."""
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_listing((row("a", with_start, 1),))
+        self.reader.on_row(row("a", {**with_start, "born": STARTED_MS + 5000}, 2))
+        self.reader.on_replaced(InstanceId("a"), STARTED_MS)
         self.assertIsNotNone(self.place())
 
-    def test_an_older_entry_that_arrives_late_changes_nothing(self) -> None:
-        """A listing was under way when the feed brought the restart."""
-        own = {**ENTRY, "born": STARTED_MS}
-        self.reader.changed(row("a", {**own, "born": STARTED_MS + 5000}, 5))
-        self.reader.listed((row("a", own, 4),))
+    def test_an_older_entry_that_arrives_late_is_ignored(self) -> None:
+        """A listing that was read before a restart arrives after the feed's row."""
+        with_start = {**ENTRY, "born": STARTED_MS}
+        self.reader.on_row(row("a", {**with_start, "born": STARTED_MS + 5000}, 5))
+        self.reader.on_listing((row("a", with_start, 4),))
         self.assertEqual(self.place().started_ms, STARTED_MS + 5000)
--- a/tests/test_target_watch.py
+++ b/tests/test_target_watch.py
@@ -1,4 +1,4 @@
-"""What the dispatcher is told of targets, by what their sidecars answer."""
+"""How the state of sidecars determines the targets that the dispatcher may use."""
 
 import random
 import unittest
@@ -26,14 +26,16 @@
 
 @define
 class FakeSidecar:
+    """Answer heartbeats for a target with one model."""
+
     name: str
     model: str = "badge"
-    silent: bool = False
+    unresponsive: bool = False
     draining: bool = False
     closed: bool = False
 
     async def heartbeat(self, request, timeout_s):
-        if self.silent:
+        if self.unresponsive:
             raise NotDelivered("no connection")
         header = pb.Header(instance_id=f"{self.name}-1", availability_zone="erie")
         load = pb.LoadReport(
@@ -46,7 +48,9 @@
 
 
 @define
-class FakeList:
+class FakeVmList:
+    """List one live machine for each target name."""
+
     names: tuple[str, ...]
 
     async def list_vms(self, *, timeout_s):
@@ -60,10 +64,12 @@
 
 @define
 class FakeDispatcher:
-    offered: dict[str, bool] = field(factory=dict)
+    """Record the targets, and whether each accepts new work."""
+
+    accepting: dict[str, bool] = field(factory=dict)
 
     def set_targets(self, views, now_s):
-        self.offered = {view.target: not view.draining for view in views}
+        self.accepting = {view.target: not view.draining for view in views}
 
     def report(self, target, figures, now_s):
         pass
@@ -71,6 +77,8 @@
 
 @define
 class FakeQueue:
+    """Hold the dispatcher."""
+
     dispatcher: FakeDispatcher = field(factory=FakeDispatcher)
 
     def wake(self):
@@ -83,13 +91,13 @@
             "one": FakeSidecar("one"),
             "two": FakeSidecar("two"),
         }
-        self.list = FakeList(("one", "two"))
+        self.vm_list = FakeVmList(("one", "two"))
         self.queue = FakeQueue()
 
     @asynccontextmanager
     async def watching(self):
         watch = TargetWatch(
-            self.list,
+            self.vm_list,
             self.sidecars.__getitem__,
             pb.Header,
             lambda header: None,
@@ -105,42 +113,42 @@
             yield watch
             tasks.cancel_scope.cancel()
 
-    async def until(self, **offered):
+    async def until(self, **accepting):
         with anyio.fail_after(3):
-            while self.queue.dispatcher.offered != offered:
+            while self.queue.dispatcher.accepting != accepting:
                 await anyio.sleep(0.005)
 
-    def test_silent_target_is_left_alone_while_another_serves(self):
-        """A sidecar dies. Work that was placed on it would wait for a connection
-        that is never made, while another target has the same model.
+    def test_unresponsive_target_gets_no_work_while_another_serves(self):
+        """A sidecar dies. Work placed on its target would wait for a connection
+        that is never made, although another target serves the same model.
         """
 
         async def scenario():
             async with self.watching():
-                self.sidecars["one"].silent = True
+                self.sidecars["one"].unresponsive = True
                 await self.until(one=False, two=True)
-                self.sidecars["one"].silent = False
+                self.sidecars["one"].unresponsive = False
                 await self.until(one=True, two=True)
 
         anyio.run(scenario)
 
-    def test_silent_target_is_tried_where_nobody_else_has_the_model(self):
-        """The only target with a model goes silent, perhaps for a lost packet.
-        Refusing every caller of that model would be sure to fail them.
+    def test_unresponsive_target_is_used_if_no_other_serves_the_model(self):
+        """The only target with a model becomes unresponsive, perhaps because of a
+        lost packet. Refusing every caller of that model would fail all of them.
         """
         self.sidecars["two"].model = "planner"
 
         async def scenario():
             async with self.watching():
-                self.sidecars["one"].silent = True
+                self.sidecars["one"].unresponsive = True
                 await anyio.sleep(0.2)
                 await self.until(one=True, two=True)
 
         anyio.run(scenario)
 
-    def test_draining_target_gets_nothing_even_alone(self):
-        """Operators drain the only target of a model; new work there would hold
-        up the drain, or be cut off.
+    def test_draining_target_gets_no_work_even_if_it_is_the_only_one(self):
+        """Operators drain the only target of a model. New work there would delay
+        the drain, or be aborted by it.
         """
         self.sidecars["two"].model = "planner"
 
@@ -151,14 +159,14 @@
 
         anyio.run(scenario)
 
-    def test_target_that_the_list_lost_keeps_its_connection(self):
-        """The platform's list leaves a living target out. Answers on its way
-        would be cut off if the connection were closed.
+    def test_connection_to_a_target_missing_from_the_list_stays_open(self):
+        """The platform's VM list omits a live target. Closing the connection would
+        truncate the answers that are still being sent.
         """
 
         async def scenario():
             async with self.watching() as watch:
-                self.list.names = ("two",)
+                self.vm_list.names = ("two",)
                 await self.until(one=False, two=True)
                 await anyio.sleep(0.1)
                 self.assertIs(self.sidecars["one"].closed, False)
