--- a/src/endivegw/telemetry/catalogue/__init__.py
+++ b/src/endivegw/telemetry/catalogue/__init__.py
@@ -1,8 +1,8 @@
 """All numbered events, one module per component.
 
-The first number of each range: 1000 router, 2000 sidecar, 3000 budgets,
-4000 configuration, 5000 membership and orders, 6000 platform, 7000 operators,
-8000 daemons, 9000 allowances, 9100 relay, 9200 quarantine.
+Each component has a range of numbers, which starts at: 1000 router, 2000 sidecar,
+3000 budgets, 4000 configuration, 5000 membership and orders, 6000 platform,
+7000 operators, 8000 daemons, 9000 allowances, 9100 relay, 9200 quarantine.
 """
 
 from endivegw.telemetry.catalogue import (
--- a/src/endivegw/telemetry/catalogue/allowances.py
+++ b/src/endivegw/telemetry/catalogue/allowances.py
@@ -19,14 +19,15 @@
     9001,
     "tokens-drawn",
     Level.INFO,
-    "A router drew tokens from budgets or gave some back.",
+    "A router drew tokens from budgets or returned tokens to them.",
     ("totals", "revision"),
 )
 TOKENS_INHERITED = Event(
     9002,
     "tokens-succeeded",
     Level.INFO,
-    "A process took over its predecessor's tokens, with the most it may have used.",
+    "A process took over its predecessor's tokens; the maximum that the predecessor"
+    " may have used counts as used.",
     (
         "predecessor",
         "revision",
@@ -44,14 +45,15 @@
     9003,
     "tokens-taken-over",
     Level.WARNING,
-    "Another process settled this router's row; it starts without tokens.",
+    "Another process settled this router's row; the router starts over without tokens.",
     ("instance",),
 )
 TOKENS_REFUSED = Event(
     9004,
     "tokens-refused",
     Level.INFO,
-    "A request got no tokens, with the figures that decided it; it did not run.",
+    "A request was refused for lack of tokens and did not run; the line has the"
+    " figures behind the decision.",
     (
         "request_id",
         "client_account",
@@ -70,38 +72,39 @@
     9005,
     "peer-tokens-received",
     Level.INFO,
-    "Peers debited tokens for this router.",
+    "The router credited tokens that a peer had debited for it.",
     ("client_account", "tokens", "hand_tokens"),
 )
 TOKENS_LENT = Event(
     9006,
     "peer-tokens-given",
     Level.INFO,
-    "This router debited tokens for a peer that asked.",
+    "The router debited tokens for a peer that requested them.",
     ("client_account", "tokens", "least", "peer"),
 )
 STORE_UNAVAILABLE = Event(
     9007,
     "store-away",
     Level.WARNING,
-    "The store does not answer; the router lives on what it holds.",
+    "The store does not respond; the router continues with the tokens that it holds.",
     ("reason",),
 )
 STORE_RECOVERED = Event(
-    9008, "store-back", Level.INFO, "The store answers again.", ("away_s",)
+    9008, "store-back", Level.INFO, "The store responds again.", ("away_s",)
 )
 ROW_UNREADABLE = Event(
     9009,
     "row-unreadable",
     Level.ERROR,
-    "A row of the store does not decode; the last good state stays in force.",
+    "A row of the store cannot be decoded; a budget keeps its last valid state, and"
+    " the tokens of a holder's row stay drawn.",
     ("table", "key", "revision", "detail"),
 )
 ROW_SETTLED = Event(
     9010,
     "row-settled",
     Level.WARNING,
-    "A router worked out what one that does not come back may have used of its tokens;"
-    " the rest goes back to the budgets.",
+    "A router settled the row of an unresponsive router: the maximum that the"
+    " latter may have used counts as used, and the rest goes back to the budgets.",
     ("owner", "predecessor", "witnesses", "answered", "drawn", "limits", "used"),
 )
--- a/src/endivegw/telemetry/catalogue/budgets.py
+++ b/src/endivegw/telemetry/catalogue/budgets.py
@@ -21,77 +21,78 @@
     3001,
     "grant-drawn",
     Level.INFO,
-    "A router drew tokens of a budget, with the figures the size was decided on.",
+    "A router drew tokens from a budget; the line has the figures behind the amount.",
     ("budget", "grant_id", "tokens", "figures"),
 )
 GRANTS_COMMITTED = Event(
     3002,
     "grants-committed",
     Level.DEBUG,
-    "One write to the table carried draws, settlements, returns and bill lines.",
+    "One write to the table committed draws, settlements, returns and bill lines.",
     ("operation_id", "changes", "lines", "tries"),
 )
 BUDGET_REFUSED = Event(
     3003,
     "budget-refused",
     Level.INFO,
-    "A request got no tokens; it did not run.",
+    "A request was refused for lack of tokens and did not run.",
     ("budget", "reason", "bound_tokens", "waited_s", "figures"),
 )
 BUDGET_TABLE_UNAVAILABLE = Event(
     3004,
     "budget-table-away",
     Level.WARNING,
-    "The table does not answer; routers spend what they have in hand.",
+    "The table does not respond; the router spends the tokens that it holds.",
     ("operation_id",),
 )
 BUDGET_TABLE_RECOVERED = Event(
     3005,
     "budget-table-back",
     Level.INFO,
-    "The table answers again.",
+    "The table responds again.",
     ("away_s",),
 )
 HOLDER_FENCED = Event(
     3006,
     "holder-fenced",
     Level.WARNING,
-    "Recovery took this router's grants over while it was paused or cut off.",
+    "This router's grants were recovered while the router was paused or partitioned.",
     ("holder", "grants", "tokens_dropped"),
 )
 GRANT_SEALED_LOCALLY = Event(
     3007,
     "grant-sealed-here",
     Level.INFO,
-    "A grant is sealed; the router drops what it had of it.",
+    "A grant was sealed; the router drops the tokens that it held of the grant.",
     ("grant_id",),
 )
 TOKENS_LENT = Event(
     3008,
     "tokens-lent",
     Level.INFO,
-    "A router debited tokens for a peer that asked.",
+    "A router debited tokens for a peer that requested them.",
     ("budget", "transfer_id", "grant_id", "tokens"),
 )
 TOKENS_BORROWED = Event(
     3009,
     "tokens-borrowed",
     Level.INFO,
-    "A router credited tokens that a peer had debited.",
+    "A router credited tokens that a peer had debited for it.",
     ("budget", "transfer_id", "grant_id", "tokens"),
 )
 RECOVERY_STARTED = Event(
     3010,
     "recovery-started",
     Level.WARNING,
-    "A holder is fenced off and its grants are sealed at the sidecars.",
+    "Recovery fenced a holder; the sidecars seal its grants next.",
     ("holder",),
 )
 GRANT_RECOVERED = Event(
     3011,
     "grant-recovered",
     Level.INFO,
-    "A grant's use was settled and its rest returned or held back.",
+    "Recovery settled the use of a grant; the remaining tokens were returned,"
+    " written off or held.",
     (
         "grant_id",
         "budget",
@@ -105,6 +106,6 @@
     3012,
     "checkpoint-written",
     Level.DEBUG,
-    "A sidecar wrote the use of its grants to the table.",
+    "A sidecar wrote the consumption of its grants to the table.",
     ("grants",),
 )
--- a/src/endivegw/telemetry/catalogue/configuration.py
+++ b/src/endivegw/telemetry/catalogue/configuration.py
@@ -1,4 +1,4 @@
-"""Events of the configuration's distribution, 4000 to 4999."""
+"""Events of the distribution of the configuration, 4000 to 4999."""
 
 from endivegw.telemetry.event import Event, Level
 
@@ -8,20 +8,22 @@
     4001,
     "configuration-adopted",
     Level.INFO,
-    "The process took in a newer revision, and from where.",
+    "The process adopted a newer revision of the configuration; the line has its"
+    " source.",
     ("before", "revision", "source"),
 )
 CONFIGURATION_READY = Event(
     4002,
     "configuration-ready",
     Level.INFO,
-    "The process has heard the table or enough peers, and may serve.",
+    "The process has the newest revision of the table or of enough peers, and may"
+    " serve requests.",
     ("revision", "source"),
 )
 SOURCE_FAILED = Event(
     4003,
     "configuration-source-failed",
     Level.DEBUG,
-    "A source of the configuration gave no answer; others are asked.",
+    "A source did not return the configuration; other sources are queried.",
     ("source", "reason"),
 )
--- a/src/endivegw/telemetry/catalogue/daemons.py
+++ b/src/endivegw/telemetry/catalogue/daemons.py
@@ -8,27 +8,27 @@
     8001,
     "daemon-started",
     Level.INFO,
-    "A daemon listens and begins its work.",
+    "A daemon listens and has started to serve.",
     ("role", "instance_id", "address"),
 )
 DAEMON_DRAINING = Event(
     8002,
     "daemon-draining",
     Level.INFO,
-    "A daemon takes no new work and lets what runs end.",
+    "A daemon accepts no new work and lets running work complete.",
     ("role", "instance_id", "in_progress"),
 )
 DAEMON_STOPPED = Event(
     8003,
     "daemon-stopped",
     Level.INFO,
-    "A daemon has ended; what was cut off is 0 in a planned stop.",
+    "A daemon stopped; in a planned stop, the number of aborted requests is 0.",
     ("role", "instance_id", "cut_off"),
 )
 INVARIANT_BROKEN = Event(
     8004,
     "invariant-broken",
     Level.ERROR,
-    "A check of one of the product's promises failed; the operation was stopped.",
+    "An internal invariant check failed; the operation was aborted.",
     ("detail",),
 )
--- a/src/endivegw/telemetry/catalogue/membership.py
+++ b/src/endivegw/telemetry/catalogue/membership.py
@@ -16,48 +16,50 @@
     5001,
     "peer-changed",
     Level.INFO,
-    "A peer looks different from here than before.",
+    "The state of a peer, as observed by this process, changed.",
     ("vm", "role", "before", "after"),
 )
 INSTANCE_REPLACED = Event(
     5002,
     "instance-replaced",
     Level.WARNING,
-    "Another process answers under a peer's address; what the former kept is lost.",
+    "Another process responds at a peer's address; the former process's state is lost.",
     ("vm", "former", "present"),
 )
 VM_LIST_UNREADABLE = Event(
     5003,
     "vm-list-unread",
     Level.WARNING,
-    "The platform's list of machines could not be read; the last reading stays.",
+    "The platform's list of vms could not be read; the last list stays in use.",
     ("reason",),
 )
 ORDER_SENT = Event(
     5101,
     "order-sent",
     Level.INFO,
-    "A sidecar sends its engine an order under a fencing number.",
+    "A sidecar sends an order with a fencing number to its engine.",
     ("target", "kind", "name", "version", "fence"),
 )
 ORDER_ENDED = Event(
     5102,
     "order-ended",
     Level.INFO,
-    "An order was confirmed by a read-back, or has failed.",
+    "An order failed, or was confirmed by reading the engine's state.",
     ("target", "sequence", "state", "attempts", "detail"),
 )
 ORDER_REPAIRED = Event(
     5103,
     "order-repaired",
     Level.WARNING,
-    "An engine was not in the state that its orders add up to, and was brought back.",
+    "An engine deviated from the state that its orders define, and an order"
+    " corrected it.",
     ("target", "kind", "name", "version"),
 )
 ORDER_WINDOW_MISSED = Event(
     5104,
     "order-window-missed",
     Level.WARNING,
-    "A claim was too old to send under: the sidecar was paused, or the table slow.",
+    "An order was not sent because its claim had expired: the sidecar was paused,"
+    " or the table was slow.",
     ("target", "fence"),
 )
--- a/src/endivegw/telemetry/catalogue/operators.py
+++ b/src/endivegw/telemetry/catalogue/operators.py
@@ -1,3 +1,3 @@
-"""Events of operators' commands, 7000 to 7999; none so far."""
+"""Events of operator commands, 7000 to 7999; none are defined."""
 
 __all__: list[str] = []
--- a/src/endivegw/telemetry/catalogue/platform.py
+++ b/src/endivegw/telemetry/catalogue/platform.py
@@ -1,4 +1,4 @@
-"""Events of calls to the platform's services, 6000 to 6999."""
+"""Events of calls to platform services, 6000 to 6999."""
 
 from endivegw.telemetry.event import Event, Level
 
@@ -8,14 +8,14 @@
     6001,
     "circuit-opened",
     Level.WARNING,
-    "A service of the platform failed several calls in a row; calls are refused "
-    "at once and one at a time probes.",
+    "A platform service failed several consecutive calls; calls are rejected"
+    " immediately, except for one probe at a time.",
     ("service", "reason"),
 )
 CIRCUIT_CLOSED = Event(
     6002,
     "circuit-closed",
     Level.INFO,
-    "A service of the platform answers again.",
+    "A platform service responds again.",
     ("service",),
 )
--- a/src/endivegw/telemetry/catalogue/quarantine.py
+++ b/src/endivegw/telemetry/catalogue/quarantine.py
@@ -13,27 +13,30 @@
     9201,
     "quarantine-request-suspected",
     Level.WARNING,
-    "Targets ended while they ran a request; one attempt of it gets no second target.",
+    "Targets terminated while they ran a request; an attempt of the request is not"
+    " sent to a second target.",
     ("fingerprint", "source", "targets", "starts_ms"),
 )
 REQUEST_QUARANTINED = Event(
     9202,
     "quarantine-begun",
     Level.ERROR,
-    "A request ended several targets; it goes to none any more.",
+    "Several targets terminated while they ran a request; the request is sent to no"
+    " target any more.",
     ("fingerprint", "source", "targets", "starts_ms"),
 )
 QUARANTINE_ENDED = Event(
     9203,
     "quarantine-ended",
     Level.WARNING,
-    "A request may go to targets again: answered, expired, released or explained.",
+    "A request may be sent to targets again: it was answered or released, its"
+    " record expired, or other requests explain the terminations.",
     ("fingerprint", "source", "targets", "starts_ms"),
 )
 ROW_UNREADABLE = Event(
     9204,
     "quarantine-row-unreadable",
     Level.ERROR,
-    "A request's row does not decode; it is left alone.",
+    "The row of a request cannot be decoded and is ignored.",
     ("key", "detail"),
 )
--- a/src/endivegw/telemetry/catalogue/relay.py
+++ b/src/endivegw/telemetry/catalogue/relay.py
@@ -1,4 +1,4 @@
-"""Events of routers that call targets themselves, 9100 to 9199."""
+"""Events of direct routers, which call targets themselves, 9100 to 9199."""
 
 from endivegw.telemetry.event import Event, Level
 
@@ -26,14 +26,14 @@
     9101,
     "relay-request-refused",
     Level.INFO,
-    "A request was not admitted; it did not run.",
+    "A request was not admitted and did not run.",
     ("request_id", "reason", "detail", "status", "version", "fingerprint"),
 )
 REQUEST_PLACED = Event(
     9102,
     "relay-request-placed",
     Level.INFO,
-    "A request goes to a target, with the figures that decided it.",
+    "A request was placed on a target; the line has the figures behind the decision.",
     (
         "request_id",
         "client_account",
@@ -51,14 +51,14 @@
     9103,
     "relay-attempt-failed",
     Level.WARNING,
-    "A send to a target ended without an answer to pass on.",
+    "An attempt at a target ended without a complete answer.",
     ("request_id", "target", "address", "end", "detail", "events", "fingerprint"),
 )
 REQUEST_ENDED = Event(
     9104,
     "relay-request-ended",
     Level.INFO,
-    "An admitted request ended, with what it took and what was charged.",
+    "An admitted request ended; the line has its durations and the tokens charged.",
     (
         "request_id",
         "client_account",
@@ -82,90 +82,92 @@
     9110,
     "relay-configuration-in-force",
     Level.INFO,
-    "The router goes by another version of the configuration from now on.",
+    "A newer version of the configuration came into force in the router.",
     ("version", "before", "revision", "routes", "client_accounts", "prepaid_tokens"),
 )
 CONFIGURATION_UNREADABLE = Event(
     9111,
     "relay-configuration-unreadable",
     Level.ERROR,
-    "A row does not decode; the last good state stays in force.",
+    "A row cannot be decoded; the last valid state stays in force.",
     ("table", "key", "revision", "detail"),
 )
 TARGET_CHANGED = Event(
     9112,
     "relay-target-changed",
     Level.INFO,
-    "The router believes something else of a target.",
+    "The router's view of a target changed.",
     ("target", "service", "address", "change", "revision", "source", "age_s"),
 )
 TARGET_TERMINATED = Event(
     9115,
     "relay-target-ended",
     Level.WARNING,
-    "A target ended, and broke the requests that this router had there.",
+    "A target terminated; this router's requests that were running there were aborted.",
     ("target", "started_ms", "source", "lost", "fingerprints"),
 )
 TARGET_REPORTED = Event(
     9116,
     "relay-target-said",
     Level.INFO,
-    "An answer of a target says that it leaves, or that it wants nothing for a time.",
+    "A target's answer states that the target is leaving, or that it accepts no"
+    " requests for a time.",
     ("request_id", "target", "leaving", "pause_s"),
 )
 FEED_LOST = Event(
     9113,
     "relay-feed-lost",
     Level.WARNING,
-    "The feed of a table does not answer.",
+    "The feed of a table does not respond.",
     ("table", "reason"),
 )
 FEED_RECOVERED = Event(
     9114,
     "relay-feed-regained",
     Level.INFO,
-    "The feed of a table answers again.",
+    "The feed of a table responds again.",
     ("table", "away_s", "revision"),
 )
 PROCESS_STARTED = Event(
     9120,
     "relay-started",
     Level.INFO,
-    "The process serves.",
+    "The process started to serve requests.",
     ("vm", "instance", "address"),
 )
 DRAINING_STARTED = Event(
     9121,
     "relay-draining",
     Level.INFO,
-    "The process was told to stop; it ends what it has.",
+    "The process was asked to stop and completes the requests in progress.",
     ("connections",),
 )
 PROCESS_STOPPED = Event(
     9122,
     "relay-stopped",
     Level.INFO,
-    "The process ends.",
+    "The process stopped.",
     ("connections",),
 )
 SETTINGS_READ = Event(
     9124,
     "relay-settings-read",
     Level.INFO,
-    "The process was told that its settings changed; they hold from its next start.",
+    "The process was asked to re-read its settings; changes apply from its next start.",
     ("valid", "changed", "detail"),
 )
 CONNECTION_FAILED = Event(
     9123,
     "relay-connection-failed",
     Level.ERROR,
-    "A fault of the program ended one caller's connection.",
+    "An unexpected exception ended the connection of one caller.",
     ("detail",),
 )
 LINES_DROPPED = Event(
     9130,
     "log-lines-left-out",
     Level.WARNING,
-    "Lines were left out since the one before, because nobody read them in time.",
+    "Log lines were dropped since the last line of this event, because the output"
+    " was not read in time.",
     ("left_out",),
 )
--- a/src/endivegw/telemetry/catalogue/sidecar.py
+++ b/src/endivegw/telemetry/catalogue/sidecar.py
@@ -22,70 +22,71 @@
     2001,
     "attempt-started",
     Level.INFO,
-    "An attempt was handed to the target.",
+    "An attempt was passed to the target.",
     ("attempt_id", "client_account", "repeatable", "running"),
 )
 ATTEMPT_JOINED = Event(
     2002,
     "attempt-joined",
     Level.INFO,
-    "A caller's retry reads the answer of an attempt that was started before.",
+    "A caller's retry joined an attempt that was started earlier and reads its answer.",
     ("attempt_id", "joined_attempt_id", "client_account", "offset_bytes"),
 )
 ATTEMPT_REFUSED = Event(
     2003,
     "attempt-refused",
     Level.INFO,
-    "An attempt was refused before anything ran.",
+    "An attempt was refused before it started.",
     ("attempt_id", "client_account", "reason", "detail"),
 )
 ATTEMPT_ENDED = Event(
     2004,
     "attempt-ended",
     Level.INFO,
-    "An attempt at the target ended, whole or not.",
+    "An attempt at the target ended, with or without a complete answer.",
     ("attempt_id", "client_account", "outcome", "total_tokens", "elapsed_s"),
 )
 ATTEMPT_CANCELLED = Event(
     2005,
     "attempt-cancelled",
     Level.INFO,
-    "A router asked for the end of an attempt.",
+    "A router requested the cancellation of an attempt.",
     ("attempt_id", "answer"),
 )
 ATTEMPT_CRASHED = Event(
     2006,
     "attempt-broke",
     Level.ERROR,
-    "An attempt met a mistake in the program; its answer ends in an error.",
+    "An internal error occurred in an attempt; an incomplete answer ends with an"
+    " error.",
     ("attempt_id", "detail"),
 )
 DRAIN_STARTED = Event(
     2010,
     "drain-started",
     Level.INFO,
-    "The sidecar takes no new work and lets running work end.",
+    "The sidecar accepts no new work and lets running work complete.",
     ("running", "bound_s"),
 )
 DRAIN_ENDED = Event(
     2011,
     "drain-ended",
     Level.INFO,
-    "Running work ended, or the bound of the drain passed.",
+    "All running work ended, or the time limit of the drain passed.",
     ("running", "elapsed_s"),
 )
 GRANTS_SEALED = Event(
     2012,
     "grants-sealed",
     Level.INFO,
-    "Grants of a router were sealed; later work under them is refused.",
+    "Grants of a router were sealed; further work under them is refused.",
     ("grants", "consumed_tokens", "running_tokens"),
 )
 CLAIM_ANSWERED = Event(
     2020,
     "claim-answered",
     Level.INFO,
-    "The owner of a key slot decided on a claim.",
+    "The sidecar answered a claim for a key slot.",
     ("slot", "attempt_id", "answer"),
 )
 SLOT_ACQUIRED = Event(
@@ -99,13 +100,13 @@
     2022,
     "slot-lost",
     Level.INFO,
-    "The sidecar is no longer the owner of a key slot.",
+    "The sidecar no longer owns a key slot.",
     ("slot", "epoch"),
 )
 SLOT_RELEASED = Event(
     2023,
     "slot-released",
     Level.INFO,
-    "The sidecar flushed a key slot and let go of it.",
+    "The sidecar flushed a key slot and released it.",
     ("slot", "epoch"),
 )
--- a/src/endivegw/telemetry/exposition.py
+++ b/src/endivegw/telemetry/exposition.py
@@ -33,44 +33,49 @@
         self._registry = CollectorRegistry()
         self._ended_requests = Counter(
             "endivegw_requests",
-            "Admitted requests that ended.",
+            "Admitted requests that ended, by kind of route and outcome.",
             ("kind", "outcome"),
             registry=self._registry,
         )
         self._refused_requests = Counter(
             "endivegw_requests_refused",
-            "Requests that the configuration in force does not allow.",
+            "Requests that were not admitted, by reason.",
             ("reason",),
             registry=self._registry,
         )
         self._first_byte = self._histogram(
-            "first_byte", "Time to an answer's first part."
+            "first_byte",
+            "Time from the arrival of a request to the first data of its answer.",
+        )
+        self._request_duration = self._histogram(
+            "request", "Time from the arrival of a request to its end."
         )
-        self._request_duration = self._histogram("request", "Time to a request's end.")
         self._queue_time = Histogram(
             "endivegw_queue_seconds",
-            "Time in the router's own queue.",
+            "Time in the router's queue before a placement on a target.",
             buckets=_BUCKETS_S,
             registry=self._registry,
         )
         self._store_calls = Histogram(
             "endivegw_store_call_seconds",
-            "Calls to the store; watches wait for changes.",
+            "Durations of store calls; a watch waits until there are changes.",
             ("call", "outcome"),
             buckets=_BUCKETS_S,
             registry=self._registry,
         )
         self._retries = Counter(
             "endivegw_sends_beyond_first",
-            "Sends to a second target and further ones, which the retry budget bounds.",
+            "Sends of requests after the first; the retry budget limits their number.",
             registry=self._registry,
         )
-        self.gauge("resident_bytes", "Largest resident memory so far.", _resident_bytes)
+        self.gauge(
+            "resident_bytes", "Peak resident memory of the process.", _resident_bytes
+        )
 
     def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
         """Add a gauge whose value is read whenever the metrics are requested.
 
-        :param text: the description in the exposition.
+        :param text: help text of the metric in the exposition.
         """
         gauge = Gauge(f"endivegw_{name}", text, registry=self._registry)
         gauge.set_function(read)
