--- a/benchmarks/allowance_fleets.py
+++ b/benchmarks/allowance_fleets.py
@@ -1,11 +1,12 @@
-"""Share prepaid budgets over small and large fleets: refused falsely, written off.
-
-``python -m benchmarks.allowance_fleets [--routers N]... [--seeds N]`` plays 27 seconds
-in virtual time for each fleet: a start under full load, a cut of all routers from the
-store from second 10 to 18, a loss of all routers at second 23. Load grows with the
-fleet: 2.6 generations a second and router, long prompts and short ones, of accounts of
-which a few are large. The all-knowing counter is the measure. Datagrams, bytes and
-writes are those of one router in a second.
+"""Measure false refusals and written-off tokens of allowances by fleet size.
+
+``python -m benchmarks.allowance_fleets [--routers N]... [--seeds N]`` simulates 27
+seconds in virtual time for each fleet: a start under full load, a network partition
+between all routers and the store from second 10 to 18, and the termination of all
+routers at second 23. The load is 2.6 generations per second and router, with long and
+short prompts, of accounts of which a few are large. A refusal is false if a counter
+with global knowledge would have admitted the request. Datagrams, bytes and writes are
+per router and second.
 """
 
 from __future__ import annotations
@@ -25,82 +26,104 @@
 from endivegw_standins.linked_world import LinkedWorld
 from endivegw_standins.virtual_time import VirtualLoop
 
-_PER_S = 2.6
+_REQUESTS_PER_S = 2.6
 
-#: Share of the long prompts, the largest ones in tokens, and their answers.
+#: Share of requests, maximum prompt tokens and answer tokens, by prompt length.
 _LONG = (0.43, 18_000, 100)
 _SHORT = (0.57, 1_650, 300)
 
-#: How long each budget lasts; the accounts take turns.
-_LASTS_S = (20.0, 26.0, 40.0, 60.0)
+#: Durations for which the prepaid tokens of accounts last, assigned in rotation.
+_BUDGET_DURATIONS_S = (20.0, 26.0, 40.0, 60.0)
 
-_SETTLED_S = 3.0
-_USUAL_S = (5.0, 10.0)
-_CUT_ENDS_S = 18.0
-_LOST_S = 23.0
-_DAY_S = 27.0
+_SETTLE_S = 3.0
+_STEADY_PHASE_S = (5.0, 10.0)
+_PARTITION_END_S = 18.0
+_TERMINATION_S = 23.0
+_DURATION_S = 27.0
 
 
 @define
 class Figures:
-    """Add up days of one fleet; shares are of what was asked.
+    """Totals over the runs of one fleet.
 
-    :ivar written_off: shares of budgets that no request had held, by account.
+    :ivar requests: number of requests, by phase.
+    :ivar false_refusals: number of requests refused falsely, by phase.
+    :ivar written_off: share of each prepaid budget that was written off although no
+        request had reserved it.
     """
 
-    asked: dict[str, int] = field(factory=dict)
+    requests: dict[str, int] = field(factory=dict)
     false_refusals: dict[str, int] = field(factory=dict)
     written_off: list[float] = field(factory=list)
     datagrams_per_s: float = 0.0
     bytes_per_s: float = 0.0
     writes_per_s: float = 0.0
 
-    def false_share(self, span: str) -> float:
-        """Return the share of a span's requests that were refused falsely."""
-        return self.false_refusals.get(span, 0) / max(1, self.asked.get(span, 0))
+    def false_refusal_share(self, phase: str) -> float:
+        """Return the share of requests of a phase that were refused falsely."""
+        return self.false_refusals.get(phase, 0) / max(1, self.requests.get(phase, 0))
 
 
 def fleet_loads(routers: int, rng: random.Random) -> tuple[Load, ...]:
-    """Return two loads an account, whose callers spread unevenly over routers."""
+    """Return two loads per account, distributed unevenly over the routers."""
     accounts = round(5 * math.sqrt(routers))
     weights = [1.0 / (rank + 1) ** 0.8 for rank in range(accounts)]
-    found = []
+    result = []
     for number, weight in enumerate(weights):
         account = ClientAccountName(f"account-{number}")
-        per_s = _PER_S * routers * weight / sum(weights)
+        per_s = _REQUESTS_PER_S * routers * weight / sum(weights)
         shares = tuple(rng.random() ** 2 + 0.02 for _ in range(routers))
-        used = sum(part * (most / 2 + out / 4) for part, most, out in (_LONG, _SHORT))
-        prepaid = int(per_s * used * _LASTS_S[number % len(_LASTS_S)])
-        for part, most, output in (_LONG, _SHORT):
-            found.append(
-                Load(account, prepaid, per_s * part, shares, most, output, 1.5)
+        used = sum(
+            share * (max_prompt_tokens / 2 + answer_tokens / 4)
+            for share, max_prompt_tokens, answer_tokens in (_LONG, _SHORT)
+        )
+        prepaid = int(
+            per_s * used * _BUDGET_DURATIONS_S[number % len(_BUDGET_DURATIONS_S)]
+        )
+        for share, max_prompt_tokens, output in (_LONG, _SHORT):
+            result.append(
+                Load(
+                    account,
+                    prepaid,
+                    per_s * share,
+                    shares,
+                    max_prompt_tokens,
+                    output,
+                    1.5,
+                )
             )
-    return tuple(found)
+    return tuple(result)
 
 
-async def play(routers: int, seed: int, loss: float, figures: Figures) -> None:
-    """Play one day."""
+async def run_scenario(routers: int, seed: int, loss: float, figures: Figures) -> None:
+    """Run the complete scenario once."""
     async with _running(routers, seed, loss) as world:
-        await _span(world, figures, "start", _USUAL_S[0])
-        await _span(world, figures, "usual", _USUAL_S[1] - _USUAL_S[0])
+        await _measure_phase(world, figures, "start", _STEADY_PHASE_S[0])
+        await _measure_phase(
+            world, figures, "usual", _STEADY_PHASE_S[1] - _STEADY_PHASE_S[0]
+        )
         world.store.cut = set(world.vms)
-        await _span(world, figures, "cut", _CUT_ENDS_S - _USUAL_S[1])
+        await _measure_phase(
+            world, figures, "cut", _PARTITION_END_S - _STEADY_PHASE_S[1]
+        )
         world.store.cut = set()
-        await _span(world, figures, "after", _LOST_S - _CUT_ENDS_S)
-        await _lose_all(world, figures)
-        await _span(world, figures, "lost", _DAY_S - _LOST_S)
+        await _measure_phase(world, figures, "after", _TERMINATION_S - _PARTITION_END_S)
+        await _restart_all(world, figures)
+        await _measure_phase(world, figures, "lost", _DURATION_S - _TERMINATION_S)
 
 
-async def play_start(routers: int, seed: int, figures: Figures) -> None:
-    """Play the first seconds, in which nothing fails."""
+async def run_startup(routers: int, seed: int, figures: Figures) -> None:
+    """Run the first phases of the scenario, without faults."""
     async with _running(routers, seed, loss=0.0) as world:
-        await _span(world, figures, "start", _USUAL_S[0])
-        await _span(world, figures, "usual", _USUAL_S[1] - _USUAL_S[0])
+        await _measure_phase(world, figures, "start", _STEADY_PHASE_S[0])
+        await _measure_phase(
+            world, figures, "usual", _STEADY_PHASE_S[1] - _STEADY_PHASE_S[0]
+        )
 
 
 @asynccontextmanager
 async def _running(routers: int, seed: int, loss: float) -> AsyncIterator[LinkedWorld]:
-    """Run a fleet and its callers; check the budgets at the end."""
+    """Run a fleet under load, and check at the end that no budget is overspent."""
     rng = random.Random(seed)
     vms = tuple(f"vm-{number:03}" for number in range(routers))
     async with anyio.create_task_group() as tasks:
@@ -110,7 +133,7 @@
         world.network.loss = loss
         for vm in vms:
             world.start(vm)
-        await anyio.sleep(_SETTLED_S)
+        await anyio.sleep(_SETTLE_S)
         for load in loads:
             tasks.start_soon(world.call, load)
         yield world
@@ -118,25 +141,27 @@
     _check_budgets(world, seed)
 
 
-async def _span(
-    world: LinkedWorld, figures: Figures, span: str, lasts_s: float
+async def _measure_phase(
+    world: LinkedWorld, figures: Figures, phase: str, duration_s: float
 ) -> None:
     outcome, network = world.outcome, world.network
-    asked, false = outcome.asked, outcome.false_refusals
+    asked_before, false_refusals_before = outcome.asked, outcome.false_refusals
     sent, sent_bytes = network.sent, network.sent_bytes
     writes = world.store.revision
-    await anyio.sleep(lasts_s)
-    figures.asked[span] = figures.asked.get(span, 0) + outcome.asked - asked
-    refused = outcome.false_refusals - false
-    figures.false_refusals[span] = figures.false_refusals.get(span, 0) + refused
-    if span == "usual":
-        each = lasts_s * len(world.vms)
-        figures.datagrams_per_s = (network.sent - sent) / each
-        figures.bytes_per_s = (network.sent_bytes - sent_bytes) / each
-        figures.writes_per_s = (world.store.revision - writes) / each
-
-
-async def _lose_all(world: LinkedWorld, figures: Figures) -> None:
+    await anyio.sleep(duration_s)
+    figures.requests[phase] = (
+        figures.requests.get(phase, 0) + outcome.asked - asked_before
+    )
+    refused = outcome.false_refusals - false_refusals_before
+    figures.false_refusals[phase] = figures.false_refusals.get(phase, 0) + refused
+    if phase == "usual":
+        router_seconds = duration_s * len(world.vms)
+        figures.datagrams_per_s = (network.sent - sent) / router_seconds
+        figures.bytes_per_s = (network.sent_bytes - sent_bytes) / router_seconds
+        figures.writes_per_s = (world.store.revision - writes) / router_seconds
+
+
+async def _restart_all(world: LinkedWorld, figures: Figures) -> None:
     used = used_tokens(world)
     for vm in world.vms:
         world.kill(vm)
@@ -152,49 +177,55 @@
 
 
 def used_tokens(world: LinkedWorld) -> dict[ClientAccountName, int]:
-    """Return the net use that the routers count, by account."""
-    found: dict[ClientAccountName, int] = {}
+    """Return the net usage in the ledgers of all routers, by account."""
+    result: dict[ClientAccountName, int] = {}
     for router in world.routers.values():
         for account, funds in router.allowances.ledger.funds.items():
-            found[account] = found.get(account, 0) + funds.used_tokens
-    return found
+            result[account] = result.get(account, 0) + funds.used_tokens
+    return result
 
 
 def _check_budgets(world: LinkedWorld, seed: int) -> None:
     for account, prepaid_tokens in world.prepaid.items():
         spent_tokens = world.outcome.consumed_tokens.get(account, 0)
         if spent_tokens > prepaid_tokens:
-            raise SystemExit(f"overspent: seed {seed}, {account}")
+            raise SystemExit(
+                f"overspent: seed {seed}, {account}: "
+                f"{spent_tokens} of {prepaid_tokens} prepaid tokens consumed"
+            )
 
 
 @click.command()
 @click.option("--routers", multiple=True, type=int, default=(4, 29, 68))
-@click.option("--seeds", default=2, show_default=True, help="Days for each fleet.")
-@click.option("--loss", default=0.0, show_default=True, help="Lost datagrams.")
+@click.option("--seeds", default=2, show_default=True, help="Runs for each fleet.")
+@click.option("--loss", default=0.0, show_default=True, help="Share of datagrams lost.")
 def main(routers: tuple[int, ...], seeds: int, loss: float) -> None:
-    """Print a line for each fleet."""
-    spans = ("start", "usual", "cut", "after", "lost")
+    """Print one line for each fleet size."""
+    phases = ("start", "usual", "cut", "after", "lost")
     click.echo(
         "routers  refused falsely: "
-        + "  ".join(f"{span:6}" for span in spans)
+        + "  ".join(f"{phase:6}" for phase in phases)
         + "  written off: mean, most  datagrams/s  KB/s  writes/s"
     )
     for count in routers:
         figures = Figures()
         for seed in range(seeds):
             anyio.run(
-                play,
+                run_scenario,
                 count,
                 seed,
                 loss,
                 figures,
                 backend_options={"loop_factory": VirtualLoop},
             )
-        off = figures.written_off
-        shares = "  ".join(f"{figures.false_share(span):.4f}" for span in spans)
+        written_off = figures.written_off
+        shares = "  ".join(
+            f"{figures.false_refusal_share(phase):.4f}" for phase in phases
+        )
         click.echo(
             f"{count:7}                   {shares}"
-            f"                {sum(off) / len(off):.3f} {max(off):.3f}"
+            f"                {sum(written_off) / len(written_off):.3f} "
+            f"{max(written_off):.3f}"
             f"  {figures.datagrams_per_s:11.1f}  {figures.bytes_per_s / 1000:.1f}"
             f"  {figures.writes_per_s:8.1f}"
         )
--- a/benchmarks/budget_fleet.py
+++ b/benchmarks/budget_fleet.py
@@ -1,7 +1,8 @@
-"""A small fleet in virtual time: real keepers, gates and recovery, fake engines.
+"""A small fleet in virtual time with production budget code and simulated engines.
 
-What the engines consumed is counted apart from all accounting: it is what the
-budgets are held against. Faults are switched on one process or one link.
+Managers, gates and recovery are the production classes. The tokens that engines consume
+are counted independently of all accounting, as the reference for the budgets. Faults
+are injected per process or link.
 """
 
 from __future__ import annotations
@@ -38,30 +39,33 @@
 from endivegw_standins.faulty_table import FaultyTable, TableFaults
 from endivegw_standins.memory_table import MemoryTable
 
-__all__ = ["Fleet", "FleetRouter", "FleetSidecar", "Work"]
+__all__ = ["Fleet", "FleetRouter", "FleetSidecar", "RequestSpec"]
 
-#: Unix time at which the virtual clock begins.
+#: Unix time at which the virtual clock starts.
 EPOCH_S = 1_700_000_000.0
 
-#: Tokens come in pieces of this many.
-PIECE_TOKENS = 20
+#: Tokens that an engine generates at a time.
+CHUNK_TOKENS = 20
 
-LINK_S = 0.001
+#: Mean one-way delay between two processes.
+LINK_DELAY_S = 0.001
 
 
-class QuietLog:
-    """Drop all lines."""
+class NullLog:
+    """Log that discards all events."""
 
     def emit(self, event, **fields):
-        """Do nothing."""
+        """Discard the event."""
 
 
 @define
-class Work:
-    """Hold one request as its caller sends it.
+class RequestSpec:
+    """A request as its caller sends it.
 
-    :param bound_tokens: what the router reserves for it.
-    :param prompt_tokens: what the engine counts for the prompt.
+    :param key: idempotency key of the request.
+    :param bound_tokens: upper bound of its usage, which the router reserves.
+    :param prompt_tokens: prompt tokens that the engine counts.
+    :param completion_tokens: tokens that the engine generates if it is not stopped.
     """
 
     key: str
@@ -75,7 +79,11 @@
 
 @define(eq=False)
 class FleetSidecar:
-    """A sidecar with its engine, which counts what it really consumes."""
+    """A sidecar with its engine, which counts the tokens it actually consumes.
+
+    :ivar usages: usage of completed attempts.
+    :ivar consumed_tokens_by_attempt: tokens consumed so far, by attempt.
+    """
 
     fleet: Fleet
     target: TargetName
@@ -84,7 +92,7 @@
     alive: bool = True
     terminated_at_s: float | None = None
     usages: dict[AttemptId, Usage] = field(factory=dict)
-    used: dict[AttemptId, int] = field(factory=dict)
+    consumed_tokens_by_attempt: dict[AttemptId, int] = field(factory=dict)
     running: set[AttemptId] = field(factory=set)
     gate: GrantGate = None
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
@@ -97,25 +105,25 @@
             fleet.view(self.faults),
             fleet.clock,
             fleet.fork_rng(),
-            QuietLog(),
+            NullLog(),
             checkpoint_s=fleet.checkpoint_s,
         )
 
     @property
     def instance_id(self):
-        """Return the id of this start of the sidecar."""
+        """Return the instance id of this incarnation of the sidecar."""
         return InstanceId(f"{self.target}.{self.number}")
 
     async def run(self):
-        """Register and look after the ledger until it dies."""
+        """Start the gate and run it until the sidecar is terminated."""
         with self.scope:
             await self.gate.start()
             await self.gate.run()
 
-    async def execute(self, reservation, work):
-        """Run one attempt; return its usage, a refusal, or unknown."""
+    async def execute(self, reservation, request):
+        """Run one attempt; return its usage, a refusal or an unknown outcome."""
         fleet = self.fleet
-        await fleet.link()
+        await fleet.network_delay()
         if not self.alive:
             return Unknown(Reason.UNREACHABLE)
         attempt_id = reservation.reservation_id
@@ -129,37 +137,37 @@
         if refused is not None:
             return refused
         self.running.add(attempt_id)
-        # The engine goes on when its router goes away.
+        # The engine continues when the router that sent the request is terminated.
         done = anyio.Event()
-        fleet.tasks.start_soon(self._generate, reservation, work, done)
+        fleet.tasks.start_soon(self._generate, reservation, request, done)
         await done.wait()
         if not self.alive:
             return Unknown(Reason.UNREACHABLE)
         return Done(self.usages[attempt_id])
 
-    async def _generate(self, reservation, work, done):
+    async def _generate(self, reservation, request, done):
         ledger = self.gate.ledger
         attempt_id = reservation.reservation_id
-        left_tokens = min(work.completion_tokens, reservation.tokens)
+        left_tokens = min(request.completion_tokens, reservation.tokens)
         used_tokens = 0
         try:
-            self._consume(reservation, work.prompt_tokens)
-            used_tokens += work.prompt_tokens
+            self._consume(reservation, request.prompt_tokens)
+            used_tokens += request.prompt_tokens
             while left_tokens and self.alive:
-                await anyio.sleep(PIECE_TOKENS / self.fleet.engine_tokens_per_s)
+                await anyio.sleep(CHUNK_TOKENS / self.fleet.engine_tokens_per_s)
                 if not self.alive:
                     break
                 available_tokens = ledger.remaining_tokens(attempt_id)
-                piece_tokens = min(PIECE_TOKENS, left_tokens, available_tokens)
-                if piece_tokens <= 0:
+                chunk_tokens = min(CHUNK_TOKENS, left_tokens, available_tokens)
+                if chunk_tokens <= 0:
                     break
-                self._consume(reservation, piece_tokens)
-                used_tokens += piece_tokens
-                left_tokens -= piece_tokens
+                self._consume(reservation, chunk_tokens)
+                used_tokens += chunk_tokens
+                left_tokens -= chunk_tokens
         finally:
             if self.alive:
                 usage = Usage(
-                    work.prompt_tokens, max(used_tokens - work.prompt_tokens, 0)
+                    request.prompt_tokens, max(used_tokens - request.prompt_tokens, 0)
                 )
                 self.usages[attempt_id] = usage
                 ledger.end(attempt_id, usage, self.fleet.clock())
@@ -169,18 +177,24 @@
     def _consume(self, reservation, tokens):
         self.gate.ledger.consume(reservation.reservation_id, tokens, self.fleet.clock())
         attempt_id = reservation.reservation_id
-        self.used[attempt_id] = self.used.get(attempt_id, 0) + tokens
+        self.consumed_tokens_by_attempt[attempt_id] = (
+            self.consumed_tokens_by_attempt.get(attempt_id, 0) + tokens
+        )
         self.fleet.count(reservation.budget, tokens)
 
     def die(self):
-        """End at once, with the engine beside it."""
+        """Terminate the sidecar and its engine immediately."""
         self.alive = False
         self.scope.cancel()
 
 
 @define(eq=False)
-class _PeerLink:
-    """The other routers as one router reaches them."""
+class _PeerConnection:
+    """Connection of one router to the other routers.
+
+    :ivar lose: probability that a request or a response is lost.
+    :ivar double: probability that a request is delivered twice.
+    """
 
     fleet: Fleet
     owner: InstanceId
@@ -188,51 +202,51 @@
     double: float = 0.0
 
     def peers(self):
-        """Return the routers on this side."""
+        """Return the live routers on this side of network partitions."""
         return tuple(
             router.instance_id
             for router in self.fleet.routers
             if router.alive
             and router.instance_id != self.owner
-            and self.fleet.linked(self.owner, router.instance_id)
+            and self.fleet.can_reach(self.owner, router.instance_id)
         )
 
     async def transfer(
         self, peer, transfer: TokenTransferRequest, *, timeout_s
     ) -> Result[TokenTransferResponse]:
-        """Carry an ask, which may be lost, doubled or answered in vain."""
-        router = self.fleet.router_named(peer)
+        """Deliver a transfer request; messages may be lost or duplicated."""
+        router = self.fleet.find_router(peer)
         rng = self.fleet.rng
-        await self.fleet.link()
-        if not router.alive or not self.fleet.linked(self.owner, peer):
+        await self.fleet.network_delay()
+        if not router.alive or not self.fleet.can_reach(self.owner, peer):
             await anyio.sleep(timeout_s)
             return Unknown(Reason.TIMEOUT)
         if rng.random() < self.lose:
             await anyio.sleep(timeout_s)
             return Unknown(Reason.TIMEOUT)
-        await router.awake()
-        offer = router.budget_manager.lend(transfer, self.fleet.clock())
+        await router.wait_until_resumed()
+        response = router.budget_manager.lend(transfer, self.fleet.clock())
         if rng.random() < self.double:
-            offer = router.budget_manager.lend(transfer, self.fleet.clock())
-        await self.fleet.link()
+            response = router.budget_manager.lend(transfer, self.fleet.clock())
+        await self.fleet.network_delay()
         if rng.random() < self.lose:
             await anyio.sleep(timeout_s)
             return Unknown(Reason.TIMEOUT)
-        return Done(offer)
+        return Done(response)
 
 
 @define(eq=False)
 class FleetRouter:
-    """A router: the real keeper, and the shortest possible request path."""
+    """A router with the production budget manager and a minimal request path."""
 
     fleet: Fleet
     instance_id: InstanceId
     faults: TableFaults
-    peers: _PeerLink | None
+    peers: _PeerConnection | None
     alive: bool = True
-    cut_from: set[TargetName] = field(factory=set)
+    unreachable_targets: set[TargetName] = field(factory=set)
     budget_manager: BudgetManager = None
-    held: list[tuple[FleetSidecar, Reservation]] = field(factory=list)
+    unresolved: list[tuple[FleetSidecar, Reservation]] = field(factory=list)
     scope: anyio.CancelScope = field(factory=anyio.CancelScope)
     resumed: anyio.Event | None = None
     in_progress: int = 0
@@ -245,94 +259,100 @@
             fleet.clock,
             fleet.fork_rng(),
             self.peers,
-            QuietLog(),
+            NullLog(),
             fleet.options,
         )
 
     async def run(self):
-        """Run the keeper's loop and resolve held attempts until it dies."""
+        """Run the budget manager and resolve unknown attempts until terminated."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.budget_manager.run)
-                tasks.start_soon(self._resolve_held)
+                tasks.start_soon(self._resolve_all)
 
-    async def awake(self):
-        """Return once the process is not paused."""
+    async def wait_until_resumed(self):
+        """Wait until the process is not paused."""
         while self.resumed is not None:
             await self.resumed.wait()
 
     def pause(self):
-        """Stop the process where it is."""
+        """Suspend the process at its current state."""
         self.resumed = self.resumed or anyio.Event()
 
     def resume(self):
-        """Let the process go on as if nothing had happened."""
+        """Resume a suspended process."""
         if self.resumed is not None:
             self.resumed.set()
             self.resumed = None
 
     def die(self):
-        """End at once."""
+        """Terminate the router immediately."""
         self.alive = False
         self.scope.cancel()
         self.resume()
 
-    async def handle(self, work: Work) -> Outcome | Refused:
-        """Take one request to its end."""
+    async def handle(self, request: RequestSpec) -> Outcome | Refused:
+        """Process one request and return its outcome."""
         self.in_progress += 1
         try:
             with anyio.CancelScope() as scope:
                 self.fleet.scopes.setdefault(self.instance_id, set()).add(scope)
                 try:
-                    return await self._handle(work)
+                    return await self._handle(request)
                 finally:
                     self.fleet.scopes[self.instance_id].discard(scope)
             return Outcome.UNKNOWN
         finally:
             self.in_progress -= 1
 
-    async def _handle(self, work):
+    async def _handle(self, request):
         clock = self.fleet.clock
-        until_s = clock() + work.deadline_s
+        deadline_s = clock() + request.deadline_s
         refused = Refused(Reason.NO_TARGET)
         for _ in range(6):
-            await self.awake()
-            got = await self.budget_manager.reserve(
-                work.budget,
-                work.bound_tokens,
-                deadline_s=until_s,
-                reserve_s=work.reserve_s,
+            await self.wait_until_resumed()
+            reservation = await self.budget_manager.reserve(
+                request.budget,
+                request.bound_tokens,
+                deadline_s=deadline_s,
+                reserve_s=request.reserve_s,
                 now_s=clock(),
             )
-            if isinstance(got, Refused):
-                return got
-            refused = await self._try(work, got)
+            if isinstance(reservation, Refused):
+                return reservation
+            refused = await self._try_sidecar(request, reservation)
             if not isinstance(refused, Refused):
                 return refused
         return refused
 
-    async def _try(self, work, reservation):
+    async def _try_sidecar(self, request, reservation):
         clock = self.fleet.clock
-        sidecar = self.fleet.pick(self.cut_from)
+        sidecar = self.fleet.choose_sidecar(self.unreachable_targets)
         if sidecar is None:
             self.budget_manager.release(reservation, clock())
             return Refused(Reason.NO_TARGET)
-        await self.awake()
-        needed = work.prompt_tokens + work.completion_tokens
-        self.fleet.expect(work.budget, needed)
+        await self.wait_until_resumed()
+        needed_tokens = request.prompt_tokens + request.completion_tokens
+        self.fleet.adjust_expected(request.budget, needed_tokens)
         try:
-            result = await sidecar.execute(reservation, work)
+            result = await sidecar.execute(reservation, request)
         finally:
-            used = sidecar.used.get(reservation.reservation_id, 0)
+            consumed_tokens = sidecar.consumed_tokens_by_attempt.get(
+                reservation.reservation_id, 0
+            )
             if reservation.reservation_id not in sidecar.running:
-                self.fleet.expect(work.budget, used - needed)
-        await self.awake()
-        if sidecar.target in self.cut_from and not isinstance(result, Refused):
+                self.fleet.adjust_expected(
+                    request.budget, consumed_tokens - needed_tokens
+                )
+        await self.wait_until_resumed()
+        if sidecar.target in self.unreachable_targets and not isinstance(
+            result, Refused
+        ):
             result = Unknown(Reason.ANSWER_LOST)
         match result:
             case Done(usage):
                 self.budget_manager.finish(reservation, usage, clock())
-                self._bill(work, usage, Outcome.ANSWERED)
+                self._bill(request, usage, Outcome.ANSWERED)
                 return Outcome.ANSWERED
             case Refused(reason=reason):
                 self.budget_manager.release(reservation, clock())
@@ -341,16 +361,16 @@
                 return result
             case Unknown():
                 self.budget_manager.hold(reservation, clock())
-                self.held.append((sidecar, reservation))
-                self._bill(work, Usage(), Outcome.UNKNOWN)
+                self.unresolved.append((sidecar, reservation))
+                self._bill(request, Usage(), Outcome.UNKNOWN)
                 return Outcome.UNKNOWN
 
-    def _bill(self, work, usage, outcome):
-        identity = RequestIdentity(work.budget.client_account, work.key)
+    def _bill(self, request, usage, outcome):
+        identity = RequestIdentity(request.budget.client_account, request.key)
         self.budget_manager.bill(
             BillLine(
                 identity,
-                work.budget,
+                request.budget,
                 usage.prompt_tokens,
                 usage.completion_tokens,
                 0,
@@ -358,27 +378,27 @@
                 self.fleet.clock(),
             )
         )
-        self.fleet.billed.append(work.key)
+        self.fleet.billed.append(request.key)
 
-    async def _resolve_held(self):
+    async def _resolve_all(self):
         while True:
             await anyio.sleep(1.0)
-            await self.awake()
-            still = []
-            for sidecar, reservation in self.held:
+            await self.wait_until_resumed()
+            still_unresolved = []
+            for sidecar, reservation in self.unresolved:
                 if not self._resolve(sidecar, reservation):
-                    still.append((sidecar, reservation))
-            self.held = still
+                    still_unresolved.append((sidecar, reservation))
+            self.unresolved = still_unresolved
 
     def _resolve(self, sidecar, reservation):
         now_s = self.fleet.clock()
         if sidecar.terminated_at_s is not None:
-            # It can never be asked: the whole reservation is charged.
+            # The sidecar cannot report the usage any more: charge the full reservation.
             self.budget_manager.resolve(
                 reservation, Usage(reservation.tokens, 0), now_s
             )
             return True
-        if not sidecar.alive or sidecar.target in self.cut_from:
+        if not sidecar.alive or sidecar.target in self.unreachable_targets:
             return False
         attempt_id = reservation.reservation_id
         if attempt_id in sidecar.running:
@@ -390,66 +410,68 @@
 
 @define(eq=False)
 class _PausableTable:
-    """Stop a paused router's calls on their way out and on their way in."""
+    """Table that suspends the calls of a paused router, before and after the call."""
 
     router: FleetRouter
     table: FaultyTable
 
     async def transact(self, transaction, *, timeout_s):
-        """Write."""
-        await self.router.awake()
+        """Execute a transaction."""
+        await self.router.wait_until_resumed()
         result = await self.table.transact(transaction, timeout_s=timeout_s)
-        await self.router.awake()
+        await self.router.wait_until_resumed()
         return result
 
     async def read(self, keys, *, timeout_s):
-        """Read."""
-        await self.router.awake()
+        """Read rows."""
+        await self.router.wait_until_resumed()
         result = await self.table.read(keys, timeout_s=timeout_s)
-        await self.router.awake()
+        await self.router.wait_until_resumed()
         return result
 
     async def scan(self, partition, *, prefix="", after=None, limit=1000, timeout_s):
-        """List."""
-        await self.router.awake()
+        """Read a page of a partition."""
+        await self.router.wait_until_resumed()
         return await self.table.scan(
             partition, prefix=prefix, after=after, limit=limit, timeout_s=timeout_s
         )
 
 
 @define(eq=False)
-class _Seals:
-    """The sidecars as a recovering process reaches them."""
+class _SealClient:
+    """Seal client of a recovery process."""
 
     fleet: Fleet
 
     async def seal(
         self, target: TargetName, grant_ids: tuple[GrantId, ...], *, timeout_s: float
     ) -> Result[SealAnswer]:
-        """Seal at whatever sidecar stands beside the target now."""
-        await self.fleet.link()
-        sidecar = self.fleet.sidecar_of(target)
+        """Seal grants at the sidecar that currently serves the target."""
+        await self.fleet.network_delay()
+        sidecar = self.fleet.live_sidecar(target)
         if sidecar is None or target in self.fleet.unsealable:
             await anyio.sleep(timeout_s)
             return Unknown(Reason.TIMEOUT)
         grants: tuple[SealedGrant, ...] = sidecar.gate.ledger.seal(
             grant_ids, self.fleet.clock()
         )
-        await self.fleet.link()
+        await self.fleet.network_delay()
         return Done(SealAnswer(sidecar.instance_id, grants))
 
     def terminated_at_s(self, target, sidecar):
-        """Return the platform's word on a sidecar's machine."""
-        for one in self.fleet.all_sidecars:
-            if one.instance_id == sidecar:
-                return one.terminated_at_s
+        """Return when the vm of a sidecar was terminated, according to the platform."""
+        for candidate in self.fleet.all_sidecars:
+            if candidate.instance_id == sidecar:
+                return candidate.terminated_at_s
         return None
 
 
 class Fleet:
-    """Wire routers, sidecars and one table, and count what engines consume.
+    """Routers, sidecars and one table, with a count of the tokens consumed by engines.
 
-    :param tasks: where everything runs.
+    :param tasks: task group in which all processes run.
+    :param transfers: whether routers transfer tokens to each other.
+    :param checkpoint_s: checkpoint interval of the sidecars.
     """
 
     def __init__(
@@ -493,89 +515,91 @@
         return EPOCH_S + self._loop_time()
 
     def fork_rng(self):
-        """Return a source of randomness of its own for one part."""
+        """Return an independent random generator seeded from that of the fleet."""
         return random.Random(self.rng.getrandbits(64))
 
     def view(self, faults):
-        """Return the table as one process reaches it."""
+        """Return the table with the faults of one process."""
         return FaultyTable(self.table, faults, self.fork_rng(), self.tasks)
 
-    async def link(self):
-        """Take the time of one way between two processes."""
-        await anyio.sleep(LINK_S * (0.5 + self.rng.random()))
+    async def network_delay(self):
+        """Sleep for the one-way delay between two processes."""
+        await anyio.sleep(LINK_DELAY_S * (0.5 + self.rng.random()))
 
-    def linked(self, one, other):
-        """Return whether two routers reach each other."""
+    def can_reach(self, one, other):
+        """Return whether two routers can reach each other."""
         return frozenset((one, other)) not in self.partitions
 
     def count(self, budget, tokens):
-        """Count what an engine really consumed."""
+        """Count tokens that an engine consumed."""
         known = self.consumed_tokens.get(budget, 0)
         self.consumed_tokens[budget] = known + tokens
-        self.expect(budget, -tokens)
+        self.adjust_expected(budget, -tokens)
 
-    def expect(self, budget, tokens):
-        """Note that running work will consume so many tokens more."""
+    def adjust_expected(self, budget, tokens):
+        """Adjust the number of tokens that running work is still going to consume."""
         self.expected_tokens[budget] = self.expected_tokens.get(budget, 0) + tokens
 
     def add_router(self):
         """Start a router."""
         name = InstanceId(f"r{self._router_number}")
         self._router_number += 1
-        link = _PeerLink(self, name) if self.transfers else None
-        router = FleetRouter(self, name, TableFaults(), link)
+        peers = _PeerConnection(self, name) if self.transfers else None
+        router = FleetRouter(self, name, TableFaults(), peers)
         self.routers.append(router)
         self.tasks.start_soon(router.run)
         return router
 
     def add_sidecar(self, target):
-        """Start a sidecar beside a target, which must have none alive."""
-        number = sum(one.target == target for one in self.all_sidecars)
+        """Start a sidecar for a target, which must not have a live one."""
+        number = sum(known.target == target for known in self.all_sidecars)
         sidecar = FleetSidecar(self, target, number, TableFaults())
         self.all_sidecars.append(sidecar)
         self.tasks.start_soon(sidecar.run)
         return sidecar
 
-    def sidecar_of(self, target):
-        """Return the live sidecar beside a target, None where there is none."""
+    def live_sidecar(self, target):
+        """Return the live sidecar of a target, or None."""
         for sidecar in self.all_sidecars:
             if sidecar.target == target and sidecar.alive:
                 return sidecar
         return None
 
-    def router_named(self, name):
-        """Return a router."""
-        return next(one for one in self.routers if one.instance_id == name)
+    def find_router(self, name):
+        """Return the router with an instance id."""
+        return next(router for router in self.routers if router.instance_id == name)
 
     def live_routers(self):
-        """Return the routers that were not killed."""
+        """Return the routers that are not terminated."""
         return [router for router in self.routers if router.alive]
 
-    def pick(self, cut_from: Iterable[TargetName]):
-        """Return a live sidecar that can be reached, None where there is none."""
+    def choose_sidecar(self, unreachable_targets: Iterable[TargetName]):
+        """Return a random live and reachable sidecar, or None."""
         live = [
-            one for one in self.all_sidecars if one.alive and one.target not in cut_from
+            sidecar
+            for sidecar in self.all_sidecars
+            if sidecar.alive and sidecar.target not in unreachable_targets
         ]
         return self.rng.choice(live) if live else None
 
     def kill(self, router):
-        """Kill a router with the requests that it carries."""
+        """Terminate a router and cancel its requests in progress."""
         router.die()
         for scope in list(self.scopes.get(router.instance_id, ())):
             scope.cancel()
 
     def recovery(self):
-        """Return a recovery as some live router would run it."""
+        """Return a recovery as run by a process with the operator's faults."""
         return Recovery(
-            self.view(self.operator_faults), _Seals(self), self.clock, QuietLog()
+            self.view(self.operator_faults), _SealClient(self), self.clock, NullLog()
         )
 
     async def recover(self, instance_id, *, within_s=600.0):
-        """Recover an instance; return how long it took, None if it is not done."""
-        began_s = self.clock()
+        """Recover an instance; return the duration, or None after ``within_s``."""
+        started_s = self.clock()
         recovery = self.recovery()
-        while self.clock() - began_s < within_s:
+        while self.clock() - started_s < within_s:
             if (await recovery.recover(instance_id)).done:
-                return self.clock() - began_s
+                return self.clock() - started_s
             await anyio.sleep(ROUND_S)
         return None
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,9 +1,9 @@
 """Measure budgets under faults: overspend, false refusals, writes, stranded tokens.
 
-Runs the real keepers, gates and recovery in virtual time before fake engines,
-for two deployments, three ways to size grants, with and without peer transfer.
-Engines and arrivals are drawn from the seed, so that each cell of a column sees
-the same requests.
+Runs the production managers, gates and recovery in virtual time with simulated engines,
+for two deployments and three policies for the size of grants, with and without token
+transfers between routers. Engines and arrivals are derived from the seed, so that all
+policies are measured with the same requests.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 import anyio
 from attrs import define, field, frozen
-from benchmarks.budget_fleet import Fleet, Work
+from benchmarks.budget_fleet import Fleet, RequestSpec
 
 from endivegw.budgets import BudgetOptions, read_budgets, top_up
 from endivegw.budgets.reconcile import read_bill, reconcile
@@ -35,16 +35,16 @@
 from endivegw_standins.memory_table import MemoryTable
 from endivegw_standins.virtual_time import VirtualLoop
 
-#: When the fault begins, when it ends, and when the run ends.
-FAULT_AT_S = 420.0
-MENDED_AT_S = 1020.0
-END_AT_S = 1320.0
+#: Start and end of the fault, and end of the run.
+FAULT_START_S = 420.0
+FAULT_END_S = 1020.0
+RUN_END_S = 1320.0
 
-#: How long until a machine that is gone is taken for gone: the list's lag.
-GONE_AFTER_S = 120.0
+#: Time until the vm list reports a terminated vm.
+TERMINATION_LAG_S = 120.0
 
-#: How long the balancer goes on sending to a router that does not answer.
-BALANCER_S = 5.0
+#: Time for which the load balancer still sends to an unresponsive router.
+BALANCER_LAG_S = 5.0
 
 ROUTERS = 3
 SIDECARS = 10
@@ -70,10 +70,11 @@
 
 
 @frozen
-class Demand:
-    """Hold the load of one account's budget.
+class BudgetLoad:
+    """Load on the budget of one account.
 
-    :param lasts_s: for how long the budget lasts at this demand.
+    :param limit_tokens: maximum number of answer tokens.
+    :param duration_s: time after which the budget is exhausted at this load.
     """
 
     name: str
@@ -81,30 +82,30 @@
     prompt_tokens: int
     answer_tokens: int
     limit_tokens: int
-    lasts_s: float
+    duration_s: float
 
 
-def registra() -> tuple[Demand, ...]:
-    """Return kiosks: short prompts and badge notes, a few large accounts."""
+def registra() -> tuple[BudgetLoad, ...]:
+    """Return a load with short prompts and answers and a few large accounts."""
     large = [
-        Demand(f"hospital{n}", 1.6, 120, 90, 200, 30_000.0 if n else 1150.0)
+        BudgetLoad(f"hospital{n}", 1.6, 120, 90, 200, 30_000.0 if n else 1150.0)
         for n in range(3)
     ]
     small = [
-        Demand(f"tower{n}", 0.08, 120, 90, 200, 30_000.0 if n else 900.0)
+        BudgetLoad(f"tower{n}", 0.08, 120, 90, 200, 30_000.0 if n else 900.0)
         for n in range(7)
     ]
     return tuple(large + small)
 
 
-def lakeshore() -> tuple[Demand, ...]:
-    """Return dispatchers: long prompts and replans, a few large accounts."""
+def lakeshore() -> tuple[BudgetLoad, ...]:
+    """Return a load with long prompts and answers and a few large accounts."""
     large = [
-        Demand(f"carrier{n}", 0.7, 700, 300, 800, 30_000.0 if n else 1150.0)
+        BudgetLoad(f"carrier{n}", 0.7, 700, 300, 800, 30_000.0 if n else 1150.0)
         for n in range(3)
     ]
     small = [
-        Demand(f"handler{n}", 0.04, 700, 300, 800, 30_000.0 if n else 900.0)
+        BudgetLoad(f"handler{n}", 0.04, 700, 300, 800, 30_000.0 if n else 900.0)
         for n in range(7)
     ]
     return tuple(large + small)
@@ -114,21 +115,21 @@
 
 
 class CountingTable(MemoryTable):
-    """Count the rows that writes touch as well as the writes."""
+    """Memory table that counts the rows written as well as the transactions."""
 
     def __init__(self):
         super().__init__()
-        self.items = 0
+        self.rows_written = 0
 
     def transact_now(self, transaction):
-        """Carry a transaction out and count its rows."""
-        self.items += len(transaction.writes)
+        """Execute a transaction and count its rows."""
+        self.rows_written += len(transaction.writes)
         return super().transact_now(transaction)
 
 
 @frozen
-class Cell:
-    """Name one run."""
+class RunParameters:
+    """Parameters of one run."""
 
     deployment: str
     policy: str
@@ -139,307 +140,327 @@
 
 
 @define
-class Tally:
-    """Add up what became of one run."""
+class RunCounts:
+    """Counts of one run.
+
+    :ivar bound_refusals: false refusals of requests whose actual usage, but not the
+        reserved bound, fitted into the remaining tokens.
+    :ivar reservation_refusals: false refusals in which reservations of other requests
+        held the tokens.
+    :ivar unknown: requests with an unknown outcome.
+    :ivar stranded_tokens: samples of granted tokens that are neither reserved nor
+        consumed.
+    """
 
     requests: int = 0
     answered: int = 0
-    refused_rightly: int = 0
+    correct_refusals: int = 0
     false_refusals: int = 0
-    loose_refusals: int = 0
-    tied_refusals: int = 0
-    lost: int = 0
-    stranded: list[int] = field(factory=list)
+    bound_refusals: int = 0
+    reservation_refusals: int = 0
+    unknown: int = 0
+    stranded_tokens: list[int] = field(factory=list)
     recovery_s: list[float] = field(factory=list)
     first_false_s: float | None = None
 
 
 class Run:
-    """Play one cell."""
+    """One run of the simulation."""
 
-    def __init__(self, cell: Cell) -> None:
-        self.cell = cell
-        self.tally = Tally()
-        self.demands = DEPLOYMENTS[cell.deployment]
-        self.prepaid: dict[BudgetKey, int] = {}
+    def __init__(self, parameters: RunParameters) -> None:
+        self.parameters = parameters
+        self.counts = RunCounts()
+        self.loads = DEPLOYMENTS[parameters.deployment]
+        self.prepaid_tokens: dict[BudgetKey, int] = {}
         self.started_s = 0.0
-        self.unbalanced = set()
+        self.excluded_routers = set()
 
-    async def play(self):
-        """Run to the end and return the row of results."""
-        options = BudgetOptions(policy=POLICIES[self.cell.policy])
+    async def simulate(self):
+        """Run the simulation and return its row of results."""
+        options = BudgetOptions(policy=POLICIES[self.parameters.policy])
         async with anyio.create_task_group() as tasks:
             self.fleet = Fleet(
                 tasks,
-                random.Random(self.cell.seed),
+                random.Random(self.parameters.seed),
                 routers=ROUTERS,
                 sidecars=SIDECARS,
                 options=options,
-                transfers=self.cell.transfers,
+                transfers=self.parameters.transfers,
                 table=CountingTable(),
             )
             self.started_s = self.fleet.clock()
             await self._top_up()
             await anyio.sleep(1)
-            async with anyio.create_task_group() as load:
-                for number, demand in enumerate(self.demands):
-                    load.start_soon(self._arrive, demand, number, tasks)
-                load.start_soon(self._sample)
-                load.start_soon(self._fault)
+            async with anyio.create_task_group() as load_tasks:
+                for number, load in enumerate(self.loads):
+                    load_tasks.start_soon(self._generate_load, load, number, tasks)
+                load_tasks.start_soon(self._sample_stranded)
+                load_tasks.start_soon(self._inject_fault)
             writes = self.fleet.table.writes
-            items = self.fleet.table.items
+            rows_written = self.fleet.table.rows_written
             reads = self.fleet.table.reads
-            row = await self._end(writes, items, reads)
+            row = await self._finish(writes, rows_written, reads)
             tasks.cancel_scope.cancel()
         return row
 
     def now_s(self):
-        """Return seconds since the run began."""
+        """Return the seconds since the start of the run."""
         return self.fleet.clock() - self.started_s
 
     async def _top_up(self):
-        for demand in self.demands:
-            used = demand.prompt_tokens + demand.answer_tokens
-            tokens = int(demand.requests_per_s * used * demand.lasts_s)
-            budget = _budget(demand)
-            self.prepaid[budget] = tokens
+        for load in self.loads:
+            used = load.prompt_tokens + load.answer_tokens
+            tokens = int(load.requests_per_s * used * load.duration_s)
+            budget = _budget(load)
+            self.prepaid_tokens[budget] = tokens
             await top_up(
                 self.fleet.table, budget, "first", tokens, timeout_s=1, now_s=0
             )
 
-    async def _arrive(self, demand, number, tasks):
-        rng = random.Random(f"{self.cell.seed}/{demand.name}")
+    async def _generate_load(self, load, number, tasks):
+        rng = random.Random(f"{self.parameters.seed}/{load.name}")
         sent = 0
         while True:
-            await anyio.sleep(rng.expovariate(demand.requests_per_s))
-            if self.now_s() > END_AT_S:
+            await anyio.sleep(rng.expovariate(load.requests_per_s))
+            if self.now_s() > RUN_END_S:
                 return
             sent += 1
-            prompt = max(int(rng.gauss(1, 0.25) * demand.prompt_tokens), 10)
-            answer = int(rng.lognormvariate(0, 0.5) * demand.answer_tokens * 0.88)
-            answer = min(max(answer, 5), demand.limit_tokens)
-            work = Work(
-                key=f"{demand.name}-{sent}",
-                budget=_budget(demand),
-                # Four bytes a token is usual for plain text.
-                bound_tokens=prompt * 4 + 24 + demand.limit_tokens,
+            prompt = max(int(rng.gauss(1, 0.25) * load.prompt_tokens), 10)
+            answer = int(rng.lognormvariate(0, 0.5) * load.answer_tokens * 0.88)
+            answer = min(max(answer, 5), load.limit_tokens)
+            request = RequestSpec(
+                key=f"{load.name}-{sent}",
+                budget=_budget(load),
+                # Plain text has about four bytes per token.
+                bound_tokens=prompt * 4 + 24 + load.limit_tokens,
                 prompt_tokens=prompt,
                 completion_tokens=answer,
-                reserve_s=self.cell.reserve_s,
+                reserve_s=self.parameters.reserve_s,
             )
-            router = self._balance(rng)
+            router = self._choose_router(rng)
             if router is not None:
-                tasks.start_soon(self._one, router, work)
+                tasks.start_soon(self._send, router, request)
 
-    def _balance(self, rng):
+    def _choose_router(self, rng):
         live = [
             router
             for router in self.fleet.live_routers()
-            if router.instance_id not in self.unbalanced
+            if router.instance_id not in self.excluded_routers
         ]
         return rng.choice(live) if live else None
 
-    async def _one(self, router, work):
-        tally = self.tally
-        tally.requests += 1
-        outcome = await router.handle(work)
+    async def _send(self, router, request):
+        counts = self.counts
+        counts.requests += 1
+        outcome = await router.handle(request)
         if isinstance(outcome, Refused):
-            self._refused(work)
+            self._count_refusal(request)
         elif outcome is Outcome.ANSWERED:
-            tally.answered += 1
+            counts.answered += 1
         else:
-            tally.lost += 1
-
-    def _refused(self, work):
-        needed = work.prompt_tokens + work.completion_tokens
-        # What runs will consume counts as gone already.
-        left = self.prepaid[work.budget]
-        left -= self.fleet.consumed_tokens.get(work.budget, 0)
-        left -= self.fleet.expected_tokens.get(work.budget, 0)
-        if left < needed:
-            self.tally.refused_rightly += 1
+            counts.unknown += 1
+
+    def _count_refusal(self, request):
+        needed_tokens = request.prompt_tokens + request.completion_tokens
+        # Tokens that running work is going to consume count as consumed.
+        remaining_tokens = self.prepaid_tokens[request.budget]
+        remaining_tokens -= self.fleet.consumed_tokens.get(request.budget, 0)
+        remaining_tokens -= self.fleet.expected_tokens.get(request.budget, 0)
+        if remaining_tokens < needed_tokens:
+            self.counts.correct_refusals += 1
             return
-        self.tally.false_refusals += 1
-        if left < work.bound_tokens:
-            self.tally.loose_refusals += 1
-        elif self._free_tokens(work.budget) < work.bound_tokens:
-            self.tally.tied_refusals += 1
-        if self.tally.first_false_s is None:
-            self.tally.first_false_s = self.now_s()
+        self.counts.false_refusals += 1
+        if remaining_tokens < request.bound_tokens:
+            self.counts.bound_refusals += 1
+        elif self._free_tokens(request.budget) < request.bound_tokens:
+            self.counts.reservation_refusals += 1
+        if self.counts.first_false_s is None:
+            self.counts.first_false_s = self.now_s()
 
     def _free_tokens(self, budget):
-        """Return what no reservation holds, in the table and at all routers."""
+        """Return the unreserved tokens in the table and at all routers."""
         row = self.fleet.table.get(budget_row_key(budget))
         return row.fields["available"] + sum(
             router.budget_manager.free_tokens_of(budget)
             for router in self.fleet.live_routers()
         )
 
-    async def _sample(self):
-        while self.now_s() < END_AT_S:
+    async def _sample_stranded(self):
+        while self.now_s() < RUN_END_S:
             await anyio.sleep(10)
             if self.now_s() < 120:
                 continue
             granted = 0
-            for budget in self.prepaid:
+            for budget in self.prepaid_tokens:
                 granted += self.fleet.table.get(budget_row_key(budget)).fields[
                     "granted"
                 ]
-            busy = 0
+            in_use_tokens = 0
             for router in self.fleet.live_routers():
                 for wallet in router.budget_manager.wallets():
-                    busy += wallet.reserved_tokens + wallet.consumed_tokens
-            self.tally.stranded.append(max(granted - busy, 0))
+                    in_use_tokens += wallet.reserved_tokens + wallet.consumed_tokens
+            self.counts.stranded_tokens.append(max(granted - in_use_tokens, 0))
 
-    async def _fault(self):
-        await anyio.sleep(FAULT_AT_S - self.now_s())
+    async def _inject_fault(self):
+        await anyio.sleep(FAULT_START_S - self.now_s())
         fleet = self.fleet
-        first = fleet.routers[0]
-        match self.cell.fault:
+        first_router = fleet.routers[0]
+        match self.parameters.fault:
             case "table away":
-                await self._away(fleet.routers + fleet.all_sidecars)
+                await self._make_unavailable(fleet.routers + fleet.all_sidecars)
             case "router-table cut":
-                await self._away([first])
+                await self._make_unavailable([first_router])
             case "sidecar-table cut":
-                await self._away(fleet.all_sidecars[:3])
+                await self._make_unavailable(fleet.all_sidecars[:3])
             case "answers lost":
                 for router in fleet.routers:
                     router.faults.lost_answer_share = 0.2
                     router.faults.double = 0.1
                     router.faults.delayed_share = 0.1
-                await self._until(MENDED_AT_S)
+                await self._sleep_until(FAULT_END_S)
                 for router in fleet.routers:
                     router.faults.lost_answer_share = router.faults.double = 0.0
                     router.faults.delayed_share = 0.0
             case "router-sidecar cut":
-                first.cut_from.update(one.target for one in fleet.all_sidecars[:5])
-                await self._until(MENDED_AT_S)
-                first.cut_from.clear()
+                first_router.unreachable_targets.update(
+                    sidecar.target for sidecar in fleet.all_sidecars[:5]
+                )
+                await self._sleep_until(FAULT_END_S)
+                first_router.unreachable_targets.clear()
             case "router dies":
-                await self._replace(first)
+                await self._replace_router(first_router)
             case "router paused":
-                await self._pause(first)
+                await self._pause_router(first_router)
             case "router+sidecar die":
-                lost = fleet.all_sidecars[0]
-                lost.die()
-                await self._replace(first, lost)
+                terminated_sidecar = fleet.all_sidecars[0]
+                terminated_sidecar.die()
+                await self._replace_router(first_router, terminated_sidecar)
             case "table away+router dies":
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._away, fleet.routers[1:] + fleet.all_sidecars)
-                    first.faults.unavailable = fleet.operator_faults.unavailable = True
+                    tasks.start_soon(
+                        self._make_unavailable, fleet.routers[1:] + fleet.all_sidecars
+                    )
+                    first_router.faults.unavailable = (
+                        fleet.operator_faults.unavailable
+                    ) = True
                     await anyio.sleep(120)
-                    await self._replace(first)
-        await self._until(END_AT_S)
+                    await self._replace_router(first_router)
+        await self._sleep_until(RUN_END_S)
 
-    async def _until(self, at_s):
+    async def _sleep_until(self, at_s):
         await anyio.sleep(max(at_s - self.now_s(), 0))
 
-    async def _away(self, processes):
-        for one in processes:
-            one.faults.unavailable = True
-        await self._until(MENDED_AT_S)
-        for one in processes:
-            one.faults.unavailable = False
+    async def _make_unavailable(self, processes):
+        for process in processes:
+            process.faults.unavailable = True
+        await self._sleep_until(FAULT_END_S)
+        for process in processes:
+            process.faults.unavailable = False
         self.fleet.operator_faults.unavailable = False
 
-    async def _replace(self, router, sidecar=None):
+    async def _replace_router(self, router, sidecar=None):
         self.fleet.kill(router)
-        await anyio.sleep(BALANCER_S)
-        fresh = self.fleet.add_router()
-        fresh.faults.unavailable = router.faults.unavailable
-        await anyio.sleep(GONE_AFTER_S)
+        await anyio.sleep(BALANCER_LAG_S)
+        replacement = self.fleet.add_router()
+        replacement.faults.unavailable = router.faults.unavailable
+        await anyio.sleep(TERMINATION_LAG_S)
         if sidecar is not None:
             sidecar.terminated_at_s = self.fleet.clock()
             self.fleet.add_sidecar(sidecar.target)
-        await self._recover(router)
-        fresh.faults.unavailable = False
+        await self._recover_router(router)
+        replacement.faults.unavailable = False
 
-    async def _pause(self, router):
+    async def _pause_router(self, router):
         router.pause()
-        await anyio.sleep(BALANCER_S)
-        self.unbalanced.add(router.instance_id)
-        await anyio.sleep(GONE_AFTER_S)
-        await self._recover(router)
-        await self._until(MENDED_AT_S)
+        await anyio.sleep(BALANCER_LAG_S)
+        self.excluded_routers.add(router.instance_id)
+        await anyio.sleep(TERMINATION_LAG_S)
+        await self._recover_router(router)
+        await self._sleep_until(FAULT_END_S)
         router.resume()
         await anyio.sleep(1)
-        self.unbalanced.clear()
+        self.excluded_routers.clear()
 
-    async def _recover(self, router):
+    async def _recover_router(self, router):
         took_s = await self.fleet.recover(router.instance_id, within_s=900)
-        self.tally.recovery_s.append(math.inf if took_s is None else took_s)
+        self.counts.recovery_s.append(math.inf if took_s is None else took_s)
 
-    async def _end(self, writes, items, reads):
+    async def _finish(self, writes, rows_written, reads):
         overspend = 0
-        for budget, prepaid in self.prepaid.items():
+        for budget, prepaid_tokens in self.prepaid_tokens.items():
             consumed = self.fleet.consumed_tokens.get(budget, 0)
-            overspend += max(consumed - prepaid, 0)
+            overspend += max(consumed - prepaid_tokens, 0)
         await anyio.sleep(60)
         for router in self.fleet.live_routers():
             with anyio.move_on_after(120):
                 await router.budget_manager.close(self.fleet.clock())
         for router in self.fleet.routers:
             await self.fleet.recover(router.instance_id, within_s=120)
-        wrote_off, unsettled, unbilled = await self._books()
-        tally = self.tally
-        recovery = max(tally.recovery_s, default=None)
+        charged_beyond_use, unsettled, bill_difference = await self._reconcile()
+        counts = self.counts
+        recovery = max(counts.recovery_s, default=None)
         return {
-            "deployment": self.cell.deployment,
-            "fault": self.cell.fault,
-            "policy": self.cell.policy,
-            "transfers": "yes" if self.cell.transfers else "no",
-            "reserve_s": int(self.cell.reserve_s),
-            "requests": tally.requests,
+            "deployment": self.parameters.deployment,
+            "fault": self.parameters.fault,
+            "policy": self.parameters.policy,
+            "transfers": "yes" if self.parameters.transfers else "no",
+            "reserve_s": int(self.parameters.reserve_s),
+            "requests": counts.requests,
             "overspend_tokens": overspend,
-            "false_refusals": tally.false_refusals,
-            "of_these_loose": tally.loose_refusals,
-            "of_these_tied": tally.tied_refusals,
-            "right_refusals": tally.refused_rightly,
-            "first_false_s": _rounded(tally.first_false_s),
-            "writes_per_s": round(writes / END_AT_S, 2),
-            "rows_per_s": round(items / END_AT_S, 2),
-            "reads_per_s": round(reads / END_AT_S, 2),
-            "stranded_mean_tokens": int(statistics.mean(tally.stranded)),
-            "stranded_max_tokens": max(tally.stranded),
+            "false_refusals": counts.false_refusals,
+            "of_these_loose": counts.bound_refusals,
+            "of_these_tied": counts.reservation_refusals,
+            "right_refusals": counts.correct_refusals,
+            "first_false_s": _rounded(counts.first_false_s),
+            "writes_per_s": round(writes / RUN_END_S, 2),
+            "rows_per_s": round(rows_written / RUN_END_S, 2),
+            "reads_per_s": round(reads / RUN_END_S, 2),
+            "stranded_mean_tokens": int(statistics.mean(counts.stranded_tokens)),
+            "stranded_max_tokens": max(counts.stranded_tokens),
             "recovery_s": _rounded(recovery),
-            "charged_beyond_use_tokens": wrote_off,
+            "charged_beyond_use_tokens": charged_beyond_use,
             "unsettled_tokens": unsettled,
-            "bill_difference_tokens": unbilled,
+            "bill_difference_tokens": bill_difference,
         }
 
-    async def _books(self):
-        """Return what is charged beyond use, left granted, and off the bill."""
+    async def _reconcile(self):
+        """Return tokens charged beyond use, still granted, and missing in the bill."""
         beyond = granted = difference = 0
-        keys = tuple(self.prepaid)
+        keys = tuple(self.prepaid_tokens)
         rows = (await read_budgets(self.fleet.table, keys, timeout_s=1)).value
-        records = [one async for one in read_bill(self.fleet.table)]
+        records = [record async for record in read_bill(self.fleet.table)]
         for row in rows:
             consumed = self.fleet.consumed_tokens.get(row.budget, 0)
             if row.settled_tokens < consumed:
-                raise AssertionError(f"{row} and {consumed} consumed")
+                raise AssertionError(
+                    f"{row}: {consumed} tokens consumed, "
+                    f"only {row.settled_tokens} settled"
+                )
             beyond += row.settled_tokens - consumed
             granted += row.granted_tokens
             difference += abs(reconcile(row, records).difference_tokens)
         return beyond, granted, difference
 
 
-def _budget(demand):
-    return BudgetKey(ClientAccountName(demand.name), "main")
+def _budget(load):
+    return BudgetKey(ClientAccountName(load.name), "main")
 
 
 def _rounded(value):
     return "" if value is None else round(value, 1)
 
 
-def play(cell: Cell):
-    """Run one cell in a fresh loop."""
-    return anyio.run(Run(cell).play, backend_options={"loop_factory": VirtualLoop})
+def simulate(parameters: RunParameters):
+    """Run one simulation in a new event loop."""
+    return anyio.run(
+        Run(parameters).simulate, backend_options={"loop_factory": VirtualLoop}
+    )
 
 
-def cells(reserve_s: float, seed: int, faults) -> list[Cell]:
-    """Return the whole table's cells."""
+def all_runs(reserve_s: float, seed: int, faults) -> list[RunParameters]:
+    """Return the runs of the complete table."""
     return [
-        Cell(deployment, policy, transfers, fault, reserve_s, seed)
+        RunParameters(deployment, policy, transfers, fault, reserve_s, seed)
         for deployment in DEPLOYMENTS
         for fault in faults
         for policy in POLICIES
@@ -447,10 +468,10 @@
     ]
 
 
-def sweep(seed: int) -> list[Cell]:
-    """Return the cells that argue the default of the reserve."""
+def sweep(seed: int) -> list[RunParameters]:
+    """Return the runs that compare values of ``reserve_s``."""
     return [
-        Cell(deployment, "demand", True, fault, reserve_s, seed)
+        RunParameters(deployment, "demand", True, fault, reserve_s, seed)
         for deployment in DEPLOYMENTS
         for reserve_s in (30.0, 60.0, 120.0, 300.0, 600.0, 700.0, 900.0, 1200.0)
         for fault in ("none", "table away", "router-table cut", "router+sidecar die")
@@ -458,7 +479,7 @@
 
 
 def main() -> int:
-    """Run, print and keep the table; return 1 where a token was overspent."""
+    """Run, print and save the table; return 1 if any token was overspent."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=20)
     parser.add_argument("--reserve-s", type=float, default=700.0)
@@ -466,12 +487,12 @@
     parser.add_argument("--fault", action="append", choices=FAULTS)
     parser.add_argument("--sweep", action="store_true")
     options = parser.parse_args()
-    wanted = cells(options.reserve_s, options.seed, options.fault or FAULTS)
+    runs = all_runs(options.reserve_s, options.seed, options.fault or FAULTS)
     if options.sweep:
-        wanted = sweep(options.seed)
-    began_s = time.monotonic()
+        runs = sweep(options.seed)
+    started_at_s = time.monotonic()
     with concurrent.futures.ProcessPoolExecutor(options.processes) as pool:
-        rows = list(pool.map(play, wanted))
+        rows = list(pool.map(simulate, runs))
     name = "budgets-sweep" if options.sweep else "budgets"
     path = pathlib.Path("results") / f"{name}.csv"
     path.parent.mkdir(exist_ok=True)
@@ -482,7 +503,7 @@
     for row in rows:
         print("  ".join(f"{value}" for value in row.values()))
     overspent = sum(row["overspend_tokens"] for row in rows)
-    took_s = time.monotonic() - began_s
+    took_s = time.monotonic() - started_at_s
     print(f"{len(rows)} cells, {overspent} tokens overspent, {took_s:.0f} s, {path}")
     return 1 if overspent else 0
 
--- a/benchmarks/capacity/__init__.py
+++ b/benchmarks/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Measure slopes on one machine, and work out each role at the target size."""
+"""Measure resource costs on one machine and project them to the target fleet size."""
--- a/benchmarks/capacity/decision_cost.py
+++ b/benchmarks/capacity/decision_cost.py
@@ -1,4 +1,4 @@
-"""Processor time of one decision, from the real classes at several sizes."""
+"""CPU time of a dispatch decision with the production classes at several sizes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def measure_dispatch() -> Fit:
-    """Return the line of seconds per request over targets known."""
+    """Fit CPU seconds per request over the number of known targets."""
     return fit_line([Point(size, _seconds_per_request(size)) for size in (12, 48, 192)])
 
 
@@ -43,10 +43,10 @@
     for number in range(size):
         figures = LoadFigures(5, 0, 64, 1300.0, 0.5, (_MODELS[number % 3],))
         dispatcher.report(_target(number).target, figures, 0.0)
-    began_s = time.process_time()
+    started_s = time.process_time()
     for number in range(_REQUESTS):
         _one_request(dispatcher, number, number / 10)
-    return (time.process_time() - began_s) / _REQUESTS
+    return (time.process_time() - started_s) / _REQUESTS
 
 
 def _one_request(dispatcher: Dispatcher, number: int, now_s: float) -> None:
@@ -64,7 +64,7 @@
     )
     placed = dispatcher.submit(item, now_s)
     if not isinstance(placed, Placement):
-        raise RuntimeError(f"the request was not placed: {placed}")
+        raise RuntimeError(f"request {item.request_id} was not placed: {placed}")
     dispatcher.started(item.request_id, now_s)
     dispatcher.first_token(item.request_id, now_s + 0.5)
     end = AttemptEnd(AttemptKind.OK, 200, 205)
--- a/benchmarks/capacity/fitting.py
+++ b/benchmarks/capacity/fitting.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, with how well they fit."""
+"""Least-squares fits of lines and planes, with their coefficient of determination."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @frozen
 class Point:
-    """Hold one measurement: ``y`` at the size ``x``."""
+    """A measurement ``y`` at size ``x``."""
 
     x: float
     y: float
@@ -19,9 +19,9 @@
 
 @frozen
 class Fit:
-    """Hold ``y = base + slope * x``.
+    """The line ``y = base + slope * x``.
 
-    :param r2: the share of the spread that the line explains; 1 is all of it.
+    :param r2: the share of the variance that the line explains, at most 1.
     """
 
     slope: float
@@ -30,13 +30,13 @@
     points: tuple[Point, ...]
 
     def at(self, x: float) -> float:
-        """Return the line's value."""
+        """Return the value of the line at ``x``."""
         return self.base + self.slope * x
 
 
 @frozen
 class PlaneFit:
-    """Hold ``y = base + first * x1 + second * x2``."""
+    """The plane ``y = base + first * x1 + second * x2``."""
 
     first: float
     second: float
@@ -45,9 +45,9 @@
 
 
 def fit_line(points: Sequence[Point]) -> Fit:
-    """Return the line of least squares through three points or more."""
+    """Return the least-squares line through three points or more."""
     if len(points) < 3:
-        raise ValueError("a slope needs three sizes or more")
+        raise ValueError(f"a line fit needs at least 3 points, got {len(points)}")
     mean_x = sum(point.x for point in points) / len(points)
     mean_y = sum(point.y for point in points) / len(points)
     spread = sum((point.x - mean_x) ** 2 for point in points)
@@ -60,9 +60,9 @@
 
 
 def fit_plane(rows: Sequence[tuple[float, float, float]]) -> PlaneFit:
-    """Return the plane of least squares through ``(x1, x2, y)`` rows."""
+    """Return the least-squares plane through four ``(x1, x2, y)`` rows or more."""
     if len(rows) < 4:
-        raise ValueError("a plane needs four measurements or more")
+        raise ValueError(f"a plane fit needs at least 4 rows, got {len(rows)}")
     sums = [[0.0] * 4 for _ in range(3)]
     for first, second, value in rows:
         terms = (1.0, first, second)
@@ -78,7 +78,7 @@
 
 
 def _solve(rows: list[list[float]]) -> tuple[float, float, float]:
-    """Solve three linear equations by elimination with pivoting."""
+    """Solve three linear equations by Gauss-Jordan elimination with pivoting."""
     for i in range(3):
         pivot = max(range(i, 3), key=lambda k: abs(rows[k][i]))
         rows[i], rows[pivot] = rows[pivot], rows[i]
--- a/benchmarks/capacity/heartbeat_cost.py
+++ b/benchmarks/capacity/heartbeat_cost.py
@@ -1,4 +1,4 @@
-"""What heartbeats cost: one process asks many connections of another."""
+"""Cost of heartbeats between two processes that share many connections."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import anyio
 from attrs import frozen
 from benchmarks.capacity.fitting import Fit, Point, fit_line
-from benchmarks.capacity.process_meter import process_usage, wire_use
+from benchmarks.capacity.process_meter import process_usage, wire_usage
 
 from endivegw.peers import (
     KeyedPeers,
@@ -36,39 +36,42 @@
 
 @frozen
 class HeartbeatCost:
-    """Hold the lines over heartbeats a second, and over connections."""
+    """Cost of heartbeats for client and server.
+
+    CPU time and bytes are fitted over heartbeats per second, memory over connections.
+    """
 
     mode: str
-    asker_cpu: Fit
-    answerer_cpu: Fit
+    client_cpu: Fit
+    server_cpu: Fit
     bytes_per_s: Fit
-    asker_memory: Fit
-    answerer_memory: Fit
+    client_memory: Fit
+    server_memory: Fit
 
 
 def measure_heartbeats(
-    mode: str, sizes: tuple[int, ...], span_s: float
+    mode: str, sizes: tuple[int, ...], duration_s: float
 ) -> HeartbeatCost:
-    """Measure at several numbers of connections, each asked every 2.5 s."""
-    rows = [_measure_in_process(mode, size, span_s) for size in sizes]
+    """Measure several numbers of connections with one heartbeat per 2.5 s each."""
+    rows = [_measure_in_process(mode, size, duration_s) for size in sizes]
     rates = [size / _INTERVAL_S for size in sizes]
 
-    def line(xs: list[float], name: str) -> Fit:
+    def fit(xs: list[float], name: str) -> Fit:
         return fit_line([Point(x, row[name]) for x, row in zip(xs, rows)])
 
     counts = [float(size) for size in sizes]
     return HeartbeatCost(
         mode,
-        asker_cpu=line(rates, "asker_cpu"),
-        answerer_cpu=line(rates, "answerer_cpu"),
-        bytes_per_s=line(rates, "bytes"),
-        asker_memory=line(counts, "asker_rss"),
-        answerer_memory=line(counts, "answerer_rss"),
+        client_cpu=fit(rates, "client_cpu"),
+        server_cpu=fit(rates, "server_cpu"),
+        bytes_per_s=fit(rates, "bytes"),
+        client_memory=fit(counts, "client_rss"),
+        server_memory=fit(counts, "server_rss"),
     )
 
 
-class _Answerer(SidecarBase):
-    """Answer heartbeats with a report of the usual size."""
+class _HeartbeatServer(SidecarBase):
+    """Sidecar stub that answers heartbeats with a load report of typical size."""
 
     async def Heartbeat(self, stream: Any) -> None:
         async for _ in stream:
@@ -137,90 +140,92 @@
         async with anyio.create_task_group() as tasks:
             security = _security(mode)
             port = await tasks.start(
-                serve_peers, (_Answerer(),), _LOOPBACK, 0, security
+                serve_peers, (_HeartbeatServer(),), _LOOPBACK, 0, security
             )
             ready.send(port)
 
     anyio.run(main)
 
 
-def _measure_in_process(mode: str, size: int, span_s: float) -> dict[str, float]:
-    """Measure in a fresh pair of processes, so that memory starts anew."""
+def _measure_in_process(mode: str, size: int, duration_s: float) -> dict[str, float]:
+    """Measure in a new pair of processes, so that memory figures are independent."""
     context = multiprocessing.get_context("spawn")
-    near, far = context.Pipe()
-    asker = context.Process(target=_ask, args=(mode, size, span_s, far))
-    asker.start()
-    row: dict[str, float] = near.recv()
-    asker.join()
+    parent_end, child_end = context.Pipe()
+    client = context.Process(
+        target=_run_client, args=(mode, size, duration_s, child_end)
+    )
+    client.start()
+    row: dict[str, float] = parent_end.recv()
+    client.join()
     return row
 
 
-def _ask(mode: str, size: int, span_s: float, result: Connection) -> None:
+def _run_client(mode: str, size: int, duration_s: float, result: Connection) -> None:
     context = multiprocessing.get_context("spawn")
-    near, far = context.Pipe()
-    answerer = context.Process(target=_serve, args=(mode, far), daemon=False)
-    answerer.start()
+    parent_end, child_end = context.Pipe()
+    server = context.Process(target=_serve, args=(mode, child_end), daemon=False)
+    server.start()
     try:
-        port = near.recv()
-        assert answerer.pid is not None
-        row = anyio.run(_ask_for, mode, size, span_s, port, answerer.pid)
+        port = parent_end.recv()
+        assert server.pid is not None
+        row = anyio.run(_measure_connections, mode, size, duration_s, port, server.pid)
         result.send(row)
     finally:
-        answerer.terminate()
-        answerer.join()
+        server.terminate()
+        server.join()
 
 
-async def _ask_for(
-    mode: str, size: int, span_s: float, port: int, answerer: int
+async def _measure_connections(
+    mode: str, size: int, duration_s: float, port: int, server: int
 ) -> dict[str, float]:
     security = _security(mode)
-    idle_asker = process_usage(os.getpid()).rss_bytes
-    idle_answerer = process_usage(answerer).rss_bytes
+    idle_client = process_usage(os.getpid()).rss_bytes
+    idle_server = process_usage(server).rss_bytes
     clients = [
         SidecarClient(_LOOPBACK, port, security, sender="router-0123-0123456789ab")
         for _ in range(size)
     ]
     async with anyio.create_task_group() as tasks:
         for number, client in enumerate(clients):
-            tasks.start_soon(_beat, client, _INTERVAL_S * number / size)
+            tasks.start_soon(_send_heartbeats, client, _INTERVAL_S * number / size)
         await anyio.sleep(2 * _INTERVAL_S)
-        row = await _watch(clients, span_s, answerer)
+        row = await _measure_duration(clients, duration_s, server)
         tasks.cancel_scope.cancel()
-    row["asker_rss"] = process_usage(os.getpid()).rss_bytes - idle_asker
-    row["answerer_rss"] = process_usage(answerer).rss_bytes - idle_answerer
+    row["client_rss"] = process_usage(os.getpid()).rss_bytes - idle_client
+    row["server_rss"] = process_usage(server).rss_bytes - idle_server
     for client in clients:
         client.close()
     return row
 
 
-async def _beat(client: SidecarClient, delay_s: float) -> None:
+async def _send_heartbeats(client: SidecarClient, delay_s: float) -> None:
     await anyio.sleep(delay_s)
     while True:
         await client.heartbeat(pb.HeartbeatRequest(header=_header("router")), 1.0)
         await anyio.sleep(_INTERVAL_S)
 
 
-async def _watch(
-    clients: list[SidecarClient], span_s: float, answerer: int
+async def _measure_duration(
+    clients: list[SidecarClient], duration_s: float, server: int
 ) -> dict[str, float]:
     sockets = [_socket_of(client) for client in clients]
-    wire = wire_use(sockets)
-    began_s = time.monotonic()
-    asker_cpu = time.process_time()
-    answerer_cpu = process_usage(answerer).cpu_s
-    await anyio.sleep(span_s)
-    spent_s = time.monotonic() - began_s
-    after = wire_use(sockets)
-    sent = after.sent_bytes - wire.sent_bytes
-    received = after.received_bytes - wire.received_bytes
+    before = wire_usage(sockets)
+    started_s = time.monotonic()
+    client_cpu = time.process_time()
+    server_cpu = process_usage(server).cpu_s
+    await anyio.sleep(duration_s)
+    elapsed_s = time.monotonic() - started_s
+    after = wire_usage(sockets)
+    sent = after.sent_bytes - before.sent_bytes
+    received = after.received_bytes - before.received_bytes
     return {
-        "asker_cpu": (time.process_time() - asker_cpu) / spent_s,
-        "answerer_cpu": (process_usage(answerer).cpu_s - answerer_cpu) / spent_s,
-        "bytes": (sent + received) / spent_s,
+        "client_cpu": (time.process_time() - client_cpu) / elapsed_s,
+        "server_cpu": (process_usage(server).cpu_s - server_cpu) / elapsed_s,
+        "bytes": (sent + received) / elapsed_s,
     }
 
 
 def _socket_of(client: SidecarClient) -> Any:
-    # The library has no public way to ask for a channel's socket.
+    # grpclib has no public API for the socket of a channel.
     protocol: Any = client._channel._protocol
     return protocol.connection._transport.get_extra_info("socket")
--- a/benchmarks/capacity/operator_cost.py
+++ b/benchmarks/capacity/operator_cost.py
@@ -1,4 +1,4 @@
-"""What one command of the operators' client costs, as a process of its own."""
+"""Cost of one command of the operator client, run in a separate process."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 @frozen
 class OperatorCost:
-    """Hold what reading the whole configuration and one change cost.
+    """Cost of loading the complete configuration and of one change.
 
-    :param reads: rows or pages read, by accounts in the table.
-    :param cpu_s: processor time of reading everything, by accounts.
+    :param reads: rows or pages read by a complete load, over the number of accounts.
+    :param cpu_s: CPU time of a complete load, over the number of accounts.
     :param change_reads: rows that one change reads.
-    :param change_writes: transactions that one change makes.
-    :param memory_bytes: the most that the client held.
+    :param change_writes: transactions that one change commits.
+    :param memory_bytes: peak resident memory of the client.
     """
 
     reads: Fit
@@ -48,9 +48,9 @@
 
 
 def measure_operator() -> OperatorCost:
-    """Measure at three numbers of accounts, with as many targets twice over."""
+    """Measure three numbers of accounts, with twice as many targets as accounts."""
     sizes = (70, 140, 280)
-    rows = [_in_process(size) for size in sizes]
+    rows = [_measure_in_processes(size) for size in sizes]
     return OperatorCost(
         reads=fit_line([Point(s, row["reads"]) for s, row in zip(sizes, rows)]),
         cpu_s=fit_line([Point(s, row["cpu_s"]) for s, row in zip(sizes, rows)]),
@@ -60,20 +60,22 @@
     )
 
 
-def _in_process(accounts: int) -> dict[str, float]:
+def _measure_in_processes(accounts: int) -> dict[str, float]:
     context = multiprocessing.get_context("spawn")
-    near, far = context.Pipe()
-    platform = context.Process(target=_run_platform, args=(far, accounts))
+    platform_end, platform_child_end = context.Pipe()
+    platform = context.Process(
+        target=_run_platform, args=(platform_child_end, accounts)
+    )
     platform.start()
-    client_near, client_far = context.Pipe()
+    client_end, client_child_end = context.Pipe()
     try:
-        url = near.recv()
-        client = context.Process(target=_run_client, args=(client_far, url))
+        url = platform_end.recv()
+        client = context.Process(target=_run_client, args=(client_child_end, url))
         client.start()
-        row: dict[str, float] = client_near.recv()
+        row: dict[str, float] = client_end.recv()
         client.join()
-        near.send("counts")
-        row.update(near.recv())
+        platform_end.send("counts")
+        row.update(platform_end.recv())
     finally:
         platform.terminate()
         platform.join()
@@ -87,37 +89,40 @@
 def _run_platform(pipe: Connection, accounts: int) -> None:
     async def main() -> None:
         platform = StandinPlatform()
-        await _fill(platform.table, accounts)
+        await _populate(platform.table, accounts)
         platform.table.reads = platform.table.writes = 0
-        seen: list[tuple[int, int]] = []
-        async with served(_counting(platform, seen), lifespan=False) as url:
+        marked_counts: list[tuple[int, int]] = []
+        async with served(_counting(platform, marked_counts), lifespan=False) as url:
             pipe.send(url)
             await anyio.to_thread.run_sync(pipe.recv)
             reads, writes = platform.table.reads, platform.table.writes
-            marked = seen[0]
+            loaded_counts = marked_counts[0]
             pipe.send(
                 {
-                    "reads": float(marked[0]),
-                    "change_reads": float(reads - marked[0]),
-                    "change_writes": float(writes - marked[1]),
+                    "reads": float(loaded_counts[0]),
+                    "change_reads": float(reads - loaded_counts[0]),
+                    "change_writes": float(writes - loaded_counts[1]),
                 }
             )
 
     anyio.run(main)
 
 
-def _counting(platform: StandinPlatform, seen: list[tuple[int, int]]) -> Any:
-    """Note the counts when the client marks the end of its first part."""
+def _counting(platform: StandinPlatform, marked_counts: list[tuple[int, int]]) -> Any:
+    """Wrap the platform to record the table counts at each request for ``/vms``.
+
+    The client sends that request between loading the configuration and the change.
+    """
 
     async def app(scope: Any, receive: Any, send: Any) -> None:
         if scope["type"] == "http" and scope["path"] == "/vms":
-            seen.append((platform.table.reads, platform.table.writes))
+            marked_counts.append((platform.table.reads, platform.table.writes))
         await platform(scope, receive, send)
 
     return app
 
 
-async def _fill(table: Any, accounts: int) -> None:
+async def _populate(table: Any, accounts: int) -> None:
     for number in range(accounts):
         parameters = Parameters(
             budgets=tuple(
@@ -137,23 +142,24 @@
 def _run_client(pipe: Connection, url: str) -> None:
     async def main() -> None:
         table = DynamoTable(f"{url}/table", credentials=None, client_name="bench")
-        began_s = time.process_time()
+        started_s = time.process_time()
         loaded = await load_documents(table, timeout_s=30.0)
-        cpu_s = time.process_time() - began_s
+        cpu_s = time.process_time() - started_s
         if not isinstance(loaded, Done):
-            raise RuntimeError(f"the configuration was not read: {loaded}")
-        await _mark(url)
+            raise RuntimeError(f"configuration could not be loaded: {loaded}")
+        await _mark_loaded(url)
         target = TargetParameters(TargetName("engine-new"), TargetKind.ENGINE)
-        changed = await set_target(table, _operation(99_999), target)
-        if not isinstance(changed, Done):
-            raise RuntimeError(f"the change was not made: {changed}")
-        used = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
-        pipe.send({"cpu_s": cpu_s, "memory": float(used)})
+        change_result = await set_target(table, _operation(99_999), target)
+        if not isinstance(change_result, Done):
+            raise RuntimeError(f"target could not be changed: {change_result}")
+        peak_memory_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
+        pipe.send({"cpu_s": cpu_s, "memory": float(peak_memory_bytes)})
 
     anyio.run(main)
 
 
-async def _mark(url: str) -> None:
+async def _mark_loaded(url: str) -> None:
+    """Send the request at which ``_counting`` records the table counts."""
     import httpcore
 
     async with httpcore.AsyncConnectionPool() as pool:
--- a/benchmarks/capacity/path_cost.py
+++ b/benchmarks/capacity/path_cost.py
@@ -1,4 +1,4 @@
-"""What the data path costs: tokens through router and sidecar, as processes."""
+"""CPU and memory cost of the data path through router and sidecar processes."""
 
 from __future__ import annotations
 
@@ -17,16 +17,19 @@
 
 __all__ = ["IdleCost", "PathCost", "PathRow", "measure_idle", "measure_path"]
 
-#: Near what letter 1 asks for between two tokens, 76 ms; a stream is quicker
-#: here, so that fewer streams make the same load.
+#: Decode speed of one stream. The required interval between two tokens is 76 ms; a
+#: faster stream (40 ms) produces the same load with fewer streams.
 _DECODE_TOKENS_PER_S = 25.0
 
-_WARM_S = 3.0
+_WARM_UP_S = 3.0
 
 
 @frozen
 class PathRow:
-    """Hold one load and what it cost, per second."""
+    """One load and its cost.
+
+    CPU figures are CPU seconds per second.
+    """
 
     streams: int
     answer_tokens: int
@@ -43,7 +46,7 @@
 
 @frozen
 class PathCost:
-    """Hold the planes over requests and tokens a second."""
+    """CPU cost fitted over requests per second and thousand tokens per second."""
 
     rows: tuple[PathRow, ...]
     router_cpu: PlaneFit
@@ -52,10 +55,12 @@
 
 @frozen
 class IdleCost:
-    """Hold what fleets without callers cost.
+    """Cost of fleets that serve no requests.
 
-    :param router_cpu: over heartbeats sent a second.
-    :param sidecar_cpu: over heartbeats answered a second.
+    :param router_cpu: over heartbeats sent per second.
+    :param sidecar_cpu: over heartbeats answered per second.
+    :param reads_per_router: table reads per second over the number of routers.
+    :param reads_per_sidecar: table reads per second over the number of sidecars.
     """
 
     router_cpu: Fit
@@ -68,23 +73,23 @@
 
 
 @define
-class _Count:
+class _Counts:
     tokens: int = 0
     requests: int = 0
     failed: int = 0
 
 
 def measure_path(
-    loads: tuple[tuple[int, int], ...], span_s: float, sidecars: int = 1
+    loads: tuple[tuple[int, int], ...], duration_s: float, sidecars: int = 1
 ) -> PathCost:
-    """Measure one router before one sidecar under several loads.
+    """Measure one router under several loads.
 
-    :param loads: numbers of streams and tokens of each answer.
+    :param loads: pairs of concurrent streams and tokens per answer.
     """
     rows = []
     for streams, answer_tokens in loads:
         with SmallFleet(1, sidecars, _DECODE_TOKENS_PER_S) as fleet:
-            row = anyio.run(_load, fleet, streams, answer_tokens, span_s)
+            row = anyio.run(_measure_load, fleet, streams, answer_tokens, duration_s)
         rows.append(row)
         print("  ", row, flush=True)
     planes = [
@@ -99,46 +104,54 @@
     return PathCost(tuple(rows), *planes)
 
 
-def measure_idle(span_s: float) -> IdleCost:
-    """Measure fleets without callers: one to twelve sidecars, one to four routers."""
-    by_sidecars = [_idle(1, sidecars, span_s) for sidecars in (1, 4, 12)]
-    by_routers = [_idle(routers, 2, span_s) for routers in (1, 3, 6)]
+def measure_idle(duration_s: float) -> IdleCost:
+    """Measure fleets without load: one to twelve sidecars, one to six routers."""
+    rows_by_sidecars = [
+        _measure_idle_fleet(1, sidecars, duration_s) for sidecars in (1, 4, 12)
+    ]
+    rows_by_routers = [
+        _measure_idle_fleet(routers, 2, duration_s) for routers in (1, 3, 6)
+    ]
     sidecars = (1.0, 4.0, 12.0)
     routers = (1.0, 3.0, 6.0)
     policy = MembershipPolicy()
-    sent = tuple(number / policy.target_interval_s(int(number)) for number in sidecars)
-    answered = tuple(number / policy.target_interval_s(2) for number in routers)
+    sent_per_s = tuple(
+        number / policy.target_interval_s(int(number)) for number in sidecars
+    )
+    answered_per_s = tuple(number / policy.target_interval_s(2) for number in routers)
     return IdleCost(
-        router_cpu=_line(sent, by_sidecars, "router_cpu"),
-        sidecar_cpu=_line(answered, by_routers, "sidecar_cpu"),
-        reads_per_router=_line(routers, by_routers, "reads"),
-        reads_per_sidecar=_line(sidecars, by_sidecars, "reads"),
-        writes_per_s=by_routers[-1]["writes"],
-        router_rss=int(by_sidecars[-1]["router_rss"]),
-        sidecar_rss=int(by_routers[-1]["sidecar_rss"]),
+        router_cpu=_fit_rows(sent_per_s, rows_by_sidecars, "router_cpu"),
+        sidecar_cpu=_fit_rows(answered_per_s, rows_by_routers, "sidecar_cpu"),
+        reads_per_router=_fit_rows(routers, rows_by_routers, "reads"),
+        reads_per_sidecar=_fit_rows(sidecars, rows_by_sidecars, "reads"),
+        writes_per_s=rows_by_routers[-1]["writes"],
+        router_rss=int(rows_by_sidecars[-1]["router_rss"]),
+        sidecar_rss=int(rows_by_routers[-1]["sidecar_rss"]),
     )
 
 
-def _line(xs: tuple[float, ...], rows: list[dict[str, float]], name: str) -> Fit:
+def _fit_rows(xs: tuple[float, ...], rows: list[dict[str, float]], name: str) -> Fit:
     return fit_line([Point(x, row[name]) for x, row in zip(xs, rows)])
 
 
-def _idle(routers: int, sidecars: int, span_s: float) -> dict[str, float]:
+def _measure_idle_fleet(
+    routers: int, sidecars: int, duration_s: float
+) -> dict[str, float]:
     with SmallFleet(routers, sidecars, _DECODE_TOKENS_PER_S) as fleet:
-        time.sleep(_WARM_S)
+        time.sleep(_WARM_UP_S)
         router, sidecar = fleet.router_daemons[0], fleet.sidecar_daemons[0]
         before = process_usage(router.pid), process_usage(sidecar.pid)
         reads, writes = fleet.table_counts()
-        began_s = time.monotonic()
-        time.sleep(span_s)
-        spent_s = time.monotonic() - began_s
+        started_s = time.monotonic()
+        time.sleep(duration_s)
+        elapsed_s = time.monotonic() - started_s
         after = process_usage(router.pid), process_usage(sidecar.pid)
         reads_after, writes_after = fleet.table_counts()
     row = {
-        "router_cpu": (after[0].cpu_s - before[0].cpu_s) / spent_s,
-        "sidecar_cpu": (after[1].cpu_s - before[1].cpu_s) / spent_s,
-        "reads": (reads_after - reads) / spent_s,
-        "writes": (writes_after - writes) / spent_s,
+        "router_cpu": (after[0].cpu_s - before[0].cpu_s) / elapsed_s,
+        "sidecar_cpu": (after[1].cpu_s - before[1].cpu_s) / elapsed_s,
+        "reads": (reads_after - reads) / elapsed_s,
+        "writes": (writes_after - writes) / elapsed_s,
         "router_rss": float(after[0].rss_bytes),
         "sidecar_rss": float(after[1].rss_bytes),
     }
@@ -146,52 +159,56 @@
     return row
 
 
-async def _load(
-    fleet: SmallFleet, streams: int, answer_tokens: int, span_s: float
+async def _measure_load(
+    fleet: SmallFleet, streams: int, answer_tokens: int, duration_s: float
 ) -> PathRow:
-    count = _Count()
+    counts = _Counts()
     router, sidecar = fleet.router_daemons[0], fleet.sidecar_daemons[0]
     async with httpcore.AsyncConnectionPool(max_connections=streams + 8) as pool:
         async with anyio.create_task_group() as tasks:
             for number in range(streams):
                 tasks.start_soon(
-                    _call, fleet, pool, number, streams, answer_tokens, count
+                    _send_requests, fleet, pool, number, streams, answer_tokens, counts
                 )
-            # The first answers end together; the wait lets them spread.
-            await anyio.sleep(_WARM_S + answer_tokens / _DECODE_TOKENS_PER_S)
+            # The first answers end together; the wait lets the streams spread out.
+            await anyio.sleep(_WARM_UP_S + answer_tokens / _DECODE_TOKENS_PER_S)
             before = process_usage(router.pid), process_usage(sidecar.pid)
             reads, writes = fleet.table_counts()
-            tokens, requests, began_s = count.tokens, count.requests, time.monotonic()
-            await anyio.sleep(span_s)
-            spent_s = time.monotonic() - began_s
+            tokens, requests, started_s = (
+                counts.tokens,
+                counts.requests,
+                time.monotonic(),
+            )
+            await anyio.sleep(duration_s)
+            elapsed_s = time.monotonic() - started_s
             after = process_usage(router.pid), process_usage(sidecar.pid)
             reads_after, writes_after = fleet.table_counts()
-            tokens, requests = count.tokens - tokens, count.requests - requests
+            tokens, requests = counts.tokens - tokens, counts.requests - requests
             tasks.cancel_scope.cancel()
     return PathRow(
         streams,
         answer_tokens,
-        tokens / spent_s,
-        requests / spent_s,
-        count.failed,
-        (after[0].cpu_s - before[0].cpu_s) / spent_s,
-        (after[1].cpu_s - before[1].cpu_s) / spent_s,
+        tokens / elapsed_s,
+        requests / elapsed_s,
+        counts.failed,
+        (after[0].cpu_s - before[0].cpu_s) / elapsed_s,
+        (after[1].cpu_s - before[1].cpu_s) / elapsed_s,
         after[0].rss_bytes,
         after[1].rss_bytes,
-        (reads_after - reads) / spent_s,
-        (writes_after - writes) / spent_s,
+        (reads_after - reads) / elapsed_s,
+        (writes_after - writes) / elapsed_s,
     )
 
 
-async def _call(
+async def _send_requests(
     fleet: SmallFleet,
     pool: httpcore.AsyncConnectionPool,
     number: int,
     streams: int,
     answer_tokens: int,
-    count: _Count,
+    counts: _Counts,
 ) -> None:
-    """Ask again and again, as one caller with a streamed answer does."""
+    """Send streaming requests one after another, as a single caller does."""
     await anyio.sleep(answer_tokens / _DECODE_TOKENS_PER_S * number / streams)
     headers = {
         "authorization": f"Bearer {fleet.keys[0]}",
@@ -211,14 +228,14 @@
         content = json.dumps(body).encode()
         async with pool.stream("POST", url, headers=headers, content=content) as reply:
             if reply.status != 200:
-                count.failed += 1
+                counts.failed += 1
                 await anyio.sleep(0.5)
                 continue
-            seen = 0
+            answer_received_tokens = 0
             async for data in reply.aiter_stream():
-                pieces = data.count(b'"content":"')
-                count.tokens += pieces
-                seen += pieces
-            count.requests += 1
-            if seen != answer_tokens:
-                count.failed += 1
+                chunk_tokens = data.count(b'"content":"')
+                counts.tokens += chunk_tokens
+                answer_received_tokens += chunk_tokens
+            counts.requests += 1
+            if answer_received_tokens != answer_tokens:
+                counts.failed += 1
--- a/benchmarks/capacity/projection.py
+++ b/benchmarks/capacity/projection.py
@@ -1,4 +1,4 @@
-"""Work out each role at the size of letter 1 from measured lines."""
+"""Project the measured costs of each role to the target fleet size."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from endivegw.membership import MembershipPolicy
 from endivegw.targets.order_manager import OrderPolicy
 
-__all__ = ["Figure", "Letter", "Measured", "project"]
+__all__ = ["Figure", "FleetSize", "Measurements", "project"]
 
 _KIB = 1024
 _MIB = 1024 * 1024
 
 
 @frozen
-class Letter:
-    """Hold the size to build for."""
+class FleetSize:
+    """Size and load of the fleet for which capacity is projected."""
 
     routers: int = 370
     sidecars: int = 650
@@ -31,13 +31,13 @@
 
     @property
     def tokens_per_request(self) -> float:
-        """Return how long an answer is on the mean."""
+        """Return the mean length of an answer."""
         return self.tokens_per_s / self.requests_per_s
 
 
 @frozen
-class Measured:
-    """Hold all that was measured."""
+class Measurements:
+    """All fitted measurements."""
 
     state: dict[str, Fit]
     heartbeats: dict[str, HeartbeatCost]
@@ -49,37 +49,37 @@
 
 @frozen
 class Figure:
-    """Hold one worked-out figure and how it was worked out."""
+    """A projected figure and its derivation."""
 
     role: str
-    what: str
+    quantity: str
     value: str
-    how: str
+    basis: str
 
 
-def project(measured: Measured, letter: Letter) -> list[Figure]:
-    """Return the figures of each role."""
+def project(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
+    """Return the projected figures of all roles."""
     return [
-        *_router_control(measured, letter),
-        *_router_path(measured, letter),
-        *_sidecar(measured, letter),
-        *_table(measured, letter),
-        *_operator(measured, letter),
+        *_router_control(measurements, fleet_size),
+        *_router_path(measurements, fleet_size),
+        *_sidecar(measurements, fleet_size),
+        *_table(measurements, fleet_size),
+        *_operator(measurements, fleet_size),
     ]
 
 
-def _router_control(measured: Measured, letter: Letter) -> list[Figure]:
+def _router_control(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
     policy = MembershipPolicy()
     watched = policy.targets_per_router
     rate = watched / policy.target_interval_s(watched)
-    all_rate = letter.sidecars / policy.heartbeat_interval_s
-    keyed = measured.heartbeats["keyed"]
-    state = measured.state
-    configuration = _configuration_bytes(measured, letter, "held")
+    all_rate = fleet_size.sidecars / policy.heartbeat_interval_s
+    keyed = measurements.heartbeats["keyed"]
+    state = measurements.state
+    configuration = _configuration_bytes(measurements, fleet_size, "held")
     per_listed = state["peer in the membership view"]
-    listed = per_listed.slope * (letter.sidecars + letter.routers)
+    listed = per_listed.slope * (fleet_size.sidecars + fleet_size.routers)
     per_budget = state["budget with one grant in a router"].slope
-    budgets = per_budget * letter.budgets
+    budgets = per_budget * fleet_size.budgets
     return [
         Figure(
             "router",
@@ -96,33 +96,33 @@
         Figure(
             "router",
             "heartbeat processor time, keyed",
-            f"{keyed.asker_cpu.slope * rate:.2%} of a core",
-            f"{keyed.asker_cpu.slope * 1000:.2f} ms each",
+            f"{keyed.client_cpu.slope * rate:.2%} of a core",
+            f"{keyed.client_cpu.slope * 1000:.2f} ms each",
         ),
         Figure(
             "router",
             "the same if all targets were watched",
             f"{keyed.bytes_per_s.slope * all_rate / 1000:.0f} KB/s, "
-            f"{keyed.asker_cpu.slope * all_rate:.0%} of a core",
+            f"{keyed.client_cpu.slope * all_rate:.0%} of a core",
             f"{all_rate:.0f} heartbeats a second",
         ),
         Figure(
             "router",
             "whole control, idle",
-            f"{measured.idle.router_cpu.at(rate):.2%} of a core",
+            f"{measurements.idle.router_cpu.at(rate):.2%} of a core",
             "idle line over heartbeats a second",
         ),
         Figure(
             "router",
             "memory of the process, few entries",
-            f"{measured.idle.router_rss / _MIB:.0f} MiB",
+            f"{measurements.idle.router_rss / _MIB:.0f} MiB",
             "resident, idle",
         ),
         Figure(
             "router",
             "configuration held",
             f"{configuration / _MIB:.1f} MiB",
-            f"{letter.accounts} accounts, {letter.sidecars} targets",
+            f"{fleet_size.accounts} accounts, {fleet_size.sidecars} targets",
         ),
         Figure(
             "router",
@@ -134,17 +134,17 @@
             "router",
             "budgets in hand",
             f"{per_budget:.0f} B each; all of them {budgets / _MIB:.0f} MiB",
-            "only budgets used within minutes are held",
+            "only recently used budgets are held",
         ),
     ]
 
 
-def _router_path(measured: Measured, letter: Letter) -> list[Figure]:
-    plane = measured.path.router_cpu
-    requests = letter.requests_per_s / letter.routers
-    tokens = letter.tokens_per_s / letter.routers
+def _router_path(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
+    plane = measurements.path.router_cpu
+    requests = fleet_size.requests_per_s / fleet_size.routers
+    tokens = fleet_size.tokens_per_s / fleet_size.routers
     cpu = plane.first * requests + plane.second * tokens / 1000
-    per_token = plane.second / 1000 + plane.first / letter.tokens_per_request
+    per_token = plane.second / 1000 + plane.first / fleet_size.tokens_per_request
     per_core = 1 / per_token
     return [
         Figure(
@@ -162,37 +162,38 @@
         Figure(
             "router",
             "routers for all tokens at a full core each",
-            f"{letter.tokens_per_s / per_core:.0f}",
-            "at 60 % of a core: " f"{letter.tokens_per_s / per_core / 0.6:.0f}",
+            f"{fleet_size.tokens_per_s / per_core:.0f}",
+            "at 60 % of a core: " f"{fleet_size.tokens_per_s / per_core / 0.6:.0f}",
         ),
         Figure(
             "router",
             "one placement",
-            f"{measured.dispatch.at(8) * 1e6:.0f} us, "
-            f"{measured.dispatch.at(letter.sidecars) * 1e6:.0f} us with all targets",
+            f"{measurements.dispatch.at(8) * 1e6:.0f} us, "
+            f"{measurements.dispatch.at(fleet_size.sidecars) * 1e6:.0f} us "
+            "with all targets",
             "Dispatcher: submit, started, first_token, ended",
         ),
     ]
 
 
-def _sidecar(measured: Measured, letter: Letter) -> list[Figure]:
+def _sidecar(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
     policy = MembershipPolicy()
     watched = policy.targets_per_router
     rate = watched / policy.target_interval_s(watched)
-    incoming = letter.routers * rate / letter.sidecars
-    keyed = measured.heartbeats["keyed"]
-    plane = measured.path.sidecar_cpu
-    requests = letter.requests_per_s / letter.sidecars
-    tokens = letter.tokens_per_s / letter.sidecars
+    incoming = fleet_size.routers * rate / fleet_size.sidecars
+    keyed = measurements.heartbeats["keyed"]
+    plane = measurements.path.sidecar_cpu
+    requests = fleet_size.requests_per_s / fleet_size.sidecars
+    tokens = fleet_size.tokens_per_s / fleet_size.sidecars
     cpu = plane.first * requests + plane.second * tokens / 1000
-    grant = measured.state["grant in a sidecar's ledger"].slope
-    buffer = measured.state["answer of 205 tokens in a buffer"].slope
+    grant = measurements.state["grant in a sidecar's ledger"].slope
+    buffer = measurements.state["answer of 205 tokens in a buffer"].slope
     return [
         Figure(
             "sidecar",
             "heartbeats answered",
             f"{incoming:.1f} a second",
-            f"{letter.routers} routers x {watched} of {letter.sidecars}",
+            f"{fleet_size.routers} routers x {watched} of {fleet_size.sidecars}",
         ),
         Figure(
             "sidecar",
@@ -203,19 +204,19 @@
         Figure(
             "sidecar",
             "heartbeat processor time, keyed",
-            f"{keyed.answerer_cpu.slope * incoming:.2%} of a core",
-            f"{keyed.answerer_cpu.slope * 1000:.2f} ms each",
+            f"{keyed.server_cpu.slope * incoming:.2%} of a core",
+            f"{keyed.server_cpu.slope * 1000:.2f} ms each",
         ),
         Figure(
             "sidecar",
             "whole control, idle",
-            f"{measured.idle.sidecar_cpu.at(incoming):.2%} of a core",
+            f"{measurements.idle.sidecar_cpu.at(incoming):.2%} of a core",
             "idle line over heartbeats answered a second",
         ),
         Figure(
             "sidecar",
             "memory of the process, few entries",
-            f"{measured.idle.sidecar_rss / _MIB:.0f} MiB",
+            f"{measurements.idle.sidecar_rss / _MIB:.0f} MiB",
             "resident, idle",
         ),
         Figure(
@@ -240,13 +241,13 @@
     ]
 
 
-def _table(measured: Measured, letter: Letter) -> list[Figure]:
-    idle = measured.idle
-    router_reads = idle.reads_per_router.slope * letter.routers
-    sidecar_reads = idle.reads_per_sidecar.slope * letter.sidecars
-    busiest = max(measured.path.rows, key=lambda row: row.requests_per_s)
+def _table(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
+    idle = measurements.idle
+    router_reads = idle.reads_per_router.slope * fleet_size.routers
+    sidecar_reads = idle.reads_per_sidecar.slope * fleet_size.sidecars
+    busiest = max(measurements.path.rows, key=lambda row: row.requests_per_s)
     router_writes = max(busiest.writes_per_s - idle.writes_per_s, 0.0)
-    orders = letter.sidecars / OrderPolicy().poll_s
+    orders = fleet_size.sidecars / OrderPolicy().poll_s
     return [
         Figure(
             "table",
@@ -264,44 +265,46 @@
             "table",
             "writes of an idle fleet",
             f"{idle.writes_per_s:.1f} a second",
-            "beats of the key slots; the same for any size",
+            "heartbeats of the key slots, independent of the fleet size",
         ),
         Figure(
             "table",
             "writes of busy routers",
-            f"{router_writes * letter.routers:.0f} a second",
+            f"{router_writes * fleet_size.routers:.0f} a second",
             f"{router_writes:.2f} a router at {busiest.requests_per_s:.1f} requests/s",
         ),
     ]
 
 
-def _operator(measured: Measured, letter: Letter) -> list[Figure]:
-    cost = measured.operator
-    writes_per_s = letter.changes_per_day / 86_400 * cost.change_writes
+def _operator(measurements: Measurements, fleet_size: FleetSize) -> list[Figure]:
+    cost = measurements.operator
+    writes_per_s = fleet_size.changes_per_day / 86_400 * cost.change_writes
     return [
         Figure(
             "operators' client",
             "reading everything",
-            f"{cost.reads.at(letter.accounts):.0f} reads, "
-            f"{cost.cpu_s.at(letter.accounts):.2f} s of a core",
-            f"{letter.accounts} accounts with 354 budgets, 560 targets",
+            f"{cost.reads.at(fleet_size.accounts):.0f} reads, "
+            f"{cost.cpu_s.at(fleet_size.accounts):.2f} s of a core",
+            f"{fleet_size.accounts} accounts with 354 budgets, 560 targets",
         ),
         Figure(
             "operators' client",
             "one change",
             f"{cost.change_reads:.0f} reads, {cost.change_writes:.0f} write",
-            f"{letter.changes_per_day} a day: {writes_per_s:.3f} writes a second",
+            f"{fleet_size.changes_per_day} a day: {writes_per_s:.3f} writes a second",
         ),
         Figure(
             "operators' client",
             "memory",
             f"{cost.memory_bytes / _MIB:.0f} MiB",
-            "most resident, with everything read",
+            "peak resident, with everything loaded",
         ),
     ]
 
 
-def _configuration_bytes(measured: Measured, letter: Letter, form: str) -> float:
-    accounts = measured.state[f"account with 354 budgets, {form}"]
-    targets = measured.state[f"target in the configuration, {form}"]
-    return accounts.slope * letter.accounts + targets.slope * letter.sidecars
+def _configuration_bytes(
+    measurements: Measurements, fleet_size: FleetSize, form: str
+) -> float:
+    accounts = measurements.state[f"account with 354 budgets, {form}"]
+    targets = measurements.state[f"target in the configuration, {form}"]
+    return accounts.slope * fleet_size.accounts + targets.slope * fleet_size.sidecars
--- a/benchmarks/capacity/small_fleet.py
+++ b/benchmarks/capacity/small_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on the loopback interface, to be measured."""
+"""A fleet of separate processes on the loopback interface, for measurements."""
 
 from __future__ import annotations
 
@@ -38,13 +38,16 @@
 __all__ = ["Daemon", "SmallFleet"]
 
 _BUDGET_TOKENS = 10**12
-_READY_BOUND_S = 30.0
+_READY_TIMEOUT_S = 30.0
 _SLOTS = 256
 
 
 @define
 class Daemon:
-    """Hold one process of the fleet and what it answered when it was ready."""
+    """A process of the fleet.
+
+    :param answer: the value that the process sent when it was ready.
+    """
 
     process: Any
     pipe: Connection
@@ -52,16 +55,17 @@
 
     @property
     def pid(self) -> int:
-        """Return the process's id."""
+        """Return the process id."""
         return int(self.process.pid)
 
 
 @define
 class SmallFleet:
-    """Start a platform, engines, sidecars and routers, each a process.
+    """Run the platform, engines, sidecars and routers, each in its own process.
 
-    :param sidecars: how many targets, each an engine with its sidecar.
-    :param decode_tokens_per_s: of one stream of an engine.
+    :param routers: number of routers.
+    :param sidecars: number of targets, each an engine with its sidecar.
+    :param decode_tokens_per_s: decode speed of one stream of an engine.
     """
 
     routers: int
@@ -98,39 +102,43 @@
 
     @property
     def keys(self) -> list[str]:
-        """Return a bearer key of each sample account."""
+        """Return the bearer key of each sample account."""
         keys: list[str] = self.platform.answer[1]
         return keys
 
     def table_counts(self) -> tuple[int, int]:
-        """Return how many reads and writes the table has seen."""
+        """Return the number of reads and writes that the table has served."""
         self.platform.pipe.send("counts")
         reads, writes = self.platform.pipe.recv()
         return reads, writes
 
     def _start(self) -> None:
         peer_port = reserve_port()
-        names = self.routers, self.sidecars
-        self.platform = self._spawn(_run_platform, *names)
+        counts = self.routers, self.sidecars
+        self.platform = self._spawn(_run_platform, *counts)
         url = self.platform.answer[0]
-        common = (peer_port, url, str(self.key_file))
+        connection_args = (peer_port, url, str(self.key_file))
         for number in range(1, self.sidecars + 1):
             engine = self._spawn(_run_engine, self.decode_tokens_per_s)
             self.engine_daemons.append(engine)
-            sidecar = self._spawn(_run_sidecar, number, engine.answer, *common)
+            sidecar = self._spawn(_run_sidecar, number, engine.answer, *connection_args)
             self.sidecar_daemons.append(sidecar)
         for number in range(1, self.routers + 1):
-            self.router_daemons.append(self._spawn(_run_router, number, *common))
+            self.router_daemons.append(
+                self._spawn(_run_router, number, *connection_args)
+            )
 
     def _spawn(self, run: Callable[..., None], *args: Any) -> Daemon:
-        near, far = self.context.Pipe()
-        process = self.context.Process(target=run, args=(far, *args))
+        parent_end, child_end = self.context.Pipe()
+        process = self.context.Process(target=run, args=(child_end, *args))
         process.start()
-        daemon = Daemon(process, near)
-        if not near.poll(_READY_BOUND_S):
+        daemon = Daemon(process, parent_end)
+        if not parent_end.poll(_READY_TIMEOUT_S):
             process.terminate()
-            raise RuntimeError(f"{run.__name__} was not ready in time")
-        daemon.answer = near.recv()
+            raise RuntimeError(
+                f"{run.__name__} was not ready within {_READY_TIMEOUT_S} s"
+            )
+        daemon.answer = parent_end.recv()
         return daemon
 
 
@@ -198,8 +206,8 @@
         router = build_router(settings)
         async with anyio.create_task_group() as tasks:
             host, http_port = await tasks.start(router.run)
-            began_s = time.monotonic()
-            while not router.ready and time.monotonic() - began_s < _READY_BOUND_S:
+            started_s = time.monotonic()
+            while not router.ready and time.monotonic() - started_s < _READY_TIMEOUT_S:
                 await anyio.sleep(0.05)
             pipe.send(f"http://{host}:{http_port}")
 
@@ -211,7 +219,7 @@
 
 
 def _run_logged(main: Callable[[], Any]) -> None:
-    """Run with the log lines made and written, and thrown away."""
+    """Run with log lines formatted and written, but discarded."""
     with open(os.devnull, "w") as sink:
         with json_line_handler(stream=sink).applicationbound():
             anyio.run(main)
--- a/benchmarks/capacity/state_cost.py
+++ b/benchmarks/capacity/state_cost.py
@@ -1,4 +1,4 @@
-"""Bytes of state in memory, from the real classes at several sizes."""
+"""Memory use of state, with the production classes at several sizes."""
 
 from __future__ import annotations
 
@@ -50,26 +50,30 @@
 
 
 def measure_state() -> dict[str, Fit]:
-    """Return the lines of bytes over the number of entries, by kind of state."""
+    """Fit bytes over the number of entries for each kind of state."""
     return {
-        "account with 354 budgets, held": _line(_documents, (70, 140, 280)),
-        "target in the configuration, held": _line(_targets, (160, 325, 650)),
-        "account with 354 budgets, as sent": _wire(_documents, (70, 140, 280)),
-        "target in the configuration, as sent": _wire(_targets, (160, 325, 650)),
-        "peer in the membership view": _line(_view, (100, 300, 1020)),
-        "target in the dispatcher": _line(_dispatcher, (12, 48, 192)),
-        "budget with one grant in a router": _line(_wallets, (1000, 4000, 16000)),
-        "grant in a sidecar's ledger": _line(_ledger, (1000, 4000, 16000)),
-        "answer of 205 tokens in a buffer": _line(_buffers, (100, 400, 1600)),
-        "call in the memory of nonces": _line(_nonces, (1000, 4000, 16000)),
+        "account with 354 budgets, held": _fit_memory(_documents, (70, 140, 280)),
+        "target in the configuration, held": _fit_memory(_targets, (160, 325, 650)),
+        "account with 354 budgets, as sent": _fit_message_size(
+            _documents, (70, 140, 280)
+        ),
+        "target in the configuration, as sent": _fit_message_size(
+            _targets, (160, 325, 650)
+        ),
+        "peer in the membership view": _fit_memory(_view, (100, 300, 1020)),
+        "target in the dispatcher": _fit_memory(_dispatcher, (12, 48, 192)),
+        "budget with one grant in a router": _fit_memory(_wallets, (1000, 4000, 16000)),
+        "grant in a sidecar's ledger": _fit_memory(_ledger, (1000, 4000, 16000)),
+        "answer of 205 tokens in a buffer": _fit_memory(_buffers, (100, 400, 1600)),
+        "call in the memory of nonces": _fit_memory(_nonces, (1000, 4000, 16000)),
     }
 
 
-def _line(build: Callable[[int], Any], sizes: tuple[int, ...]) -> Fit:
-    return fit_line([Point(size, _held_bytes(build, size)) for size in sizes])
+def _fit_memory(build: Callable[[int], Any], sizes: tuple[int, ...]) -> Fit:
+    return fit_line([Point(size, _allocated_bytes(build, size)) for size in sizes])
 
 
-def _wire(build: Callable[[int], Any], sizes: tuple[int, ...]) -> Fit:
+def _fit_message_size(build: Callable[[int], Any], sizes: tuple[int, ...]) -> Fit:
     points = []
     for size in sizes:
         documents, _ = build(size)
@@ -78,14 +82,14 @@
     return fit_line(points)
 
 
-def _held_bytes(build: Callable[[int], Any], size: int) -> int:
+def _allocated_bytes(build: Callable[[int], Any], size: int) -> int:
     gc.collect()
     tracemalloc.start()
-    kept = build(size)
+    state = build(size)
     gc.collect()
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    assert kept is not None
+    assert state is not None
     return held
 
 
@@ -213,7 +217,7 @@
 
 
 def _nonces(size: int) -> Any:
-    memory = NonceCache()
+    nonces = NonceCache()
     for number in range(size):
-        memory.accept(f"{number:024x}", 1.0)
-    return memory
+        nonces.accept(f"{number:024x}", 1.0)
+    return nonces
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,8 +1,8 @@
-"""How fast a change of configuration is everywhere, and what that costs.
+"""Measure the propagation time of configuration changes and its cost.
 
-Spread is measured in virtual time over 1,020 views and schedules of the
-product, with heartbeats as often as membership sends them. Bytes and
-processor time are measured over a loopback connection to the stand-in table.
+Propagation is simulated in virtual time with the production views and schedulers of
+1,020 processes, with the heartbeat intervals of membership. Bytes and CPU time are
+measured over a loopback connection to the stand-in table.
 """
 
 from __future__ import annotations
@@ -51,36 +51,44 @@
 
 ROUTERS, SIDECARS, ZONES = 370, 650, 7
 ACCOUNTS, BUDGETS = 280, 99_000
-CHANGES_A_DAY = 1000
+CHANGES_PER_DAY = 1000
 DAY_S = 86_400
 
-#: Virtual seconds in which every process starts and settles.
+#: Virtual time in which all processes start and reach a steady state.
 SETTLE_S = 20.0
 
-#: After this a process counts as not reached.
-LONGEST_S = 60.0
+#: Time after which a process counts as not reached.
+TIMEOUT_S = 60.0
 
-#: How finely the spread is looked at.
+#: Interval at which propagation is sampled.
 STEP_S = 0.02
 
 
 @frozen
 class Fault:
-    """Name a fault and say how it is brought about at the change.
+    """A fault and the functions that inject it.
 
-    :param begin: called when the change has just been accepted.
-    :param before: called in time before the change.
+    :param after_commit: called directly after the change was committed.
+    :param before_commit: called 2 s or more before the change is committed.
+    :param table_delay_s: response time of the table.
     """
 
     name: str
-    begin: Callable[[SyncSimulation], None] = lambda world: None
-    before: Callable[[SyncSimulation], None] = lambda world: None
+    after_commit: Callable[[SyncSimulation], None] = lambda simulation: None
+    before_commit: Callable[[SyncSimulation], None] = lambda simulation: None
     table_delay_s: float = 0.01
 
 
 @define
-class Spreading:
-    """Hold the measured seconds until each process served under a change."""
+class Propagation:
+    """Propagation times and table reads of changes under one fault.
+
+    :ivar seconds: time until a process served under the change, for each process.
+    :ivar unreached: processes that did not serve under the change in time.
+    :ivar reached_before: processes that had the change when the partition healed.
+    :ivar reads_per_s: mean table reads per second, for each change.
+    :ivar peak_reads: maximum of table reads in one second.
+    """
 
     seconds: list[float] = field(factory=list)
     unreached: int = 0
@@ -89,8 +97,8 @@
     peak_reads: int = 0
 
 
-def new_world(seed: int, table_delay_s: float) -> SyncSimulation:
-    """Return a settled fleet of the target size."""
+def new_simulation(seed: int, table_delay_s: float) -> SyncSimulation:
+    """Return a simulated fleet of the target size in a steady state."""
     policy = MembershipPolicy()
     settings = SimulationSettings(
         routers=ROUTERS,
@@ -102,212 +110,225 @@
         router_heartbeat_s=policy.router_interval_s,
         table_delay_s=table_delay_s,
     )
-    world = SyncSimulation(settings, random.Random(seed))
-    world.commit("t", 1.0)
-    world.run_until(SETTLE_S)
-    return world
+    simulation = SyncSimulation(settings, random.Random(seed))
+    simulation.commit("t", 1.0)
+    simulation.run_until(SETTLE_S)
+    return simulation
 
 
 def zone_of(index: int) -> int:
-    """Return a process's zone; the stores (-1) are in none."""
+    """Return the zone of a process, or -1 for the stores, which have index -1."""
     return index % ZONES if index >= 0 else -1
 
 
-def cut_zone_from_stores(world: SyncSimulation) -> None:
-    """Cut one zone off from table and object store, not from its peers."""
-    world.partitioned = lambda one, other: -1 in (one, other) and 0 in (
-        zone_of(one),
-        zone_of(other),
+def isolate_zone_from_stores(simulation: SyncSimulation) -> None:
+    """Partition one zone from the table and object store, but not from peers."""
+    simulation.partitioned = lambda sender, receiver: -1 in (
+        sender,
+        receiver,
+    ) and 0 in (
+        zone_of(sender),
+        zone_of(receiver),
     )
 
 
-def only_one_reader(world: SyncSimulation) -> None:
-    """Leave the table to one router; all others have only their peers."""
-    world.partitioned = lambda one, other: -1 in (one, other) and max(one, other) != 0
+def limit_stores_to_one_router(simulation: SyncSimulation) -> None:
+    """Make the stores reachable for one router only."""
+    simulation.partitioned = (
+        lambda sender, receiver: -1 in (sender, receiver) and max(sender, receiver) != 0
+    )
 
 
-def one_way_zone(world: SyncSimulation) -> None:
-    """Lose what one zone sends to the stores and to all zones but one."""
-    world.partitioned = lambda one, other: zone_of(one) == 0 and zone_of(other) not in (
+def restrict_zone_to_one_way(simulation: SyncSimulation) -> None:
+    """Drop messages from one zone to the stores and to all other zones but one."""
+    simulation.partitioned = lambda sender, receiver: zone_of(sender) == 0 and zone_of(
+        receiver
+    ) not in (
         0,
         6,
     )
 
 
-def lossy(world: SyncSimulation) -> None:
-    """Lose a tenth of the messages between processes, double another tenth."""
-    world.loss = 0.1
-    world.duplication = 0.1
-    world.extra_delay_s = 0.2
+def lose_messages(simulation: SyncSimulation) -> None:
+    """Drop 10% of the messages between processes and duplicate another 10%."""
+    simulation.loss = 0.1
+    simulation.duplication = 0.1
+    simulation.extra_delay_s = 0.2
 
 
-def no_peers(world: SyncSimulation) -> None:
-    """Let no process hear another."""
-    world.partitioned = lambda one, other: one >= 0 and other >= 0
+def drop_peer_messages(simulation: SyncSimulation) -> None:
+    """Drop all messages between processes."""
+    simulation.partitioned = lambda sender, receiver: sender >= 0 and receiver >= 0
 
 
-def peers_only(world: SyncSimulation) -> None:
-    """Take the table away 50 ms after the change was accepted."""
-    world.run_until(world.now_s + 0.05)
-    world.table_up = False
-    world.objects_up = False
+def disable_stores(simulation: SyncSimulation) -> None:
+    """Make the table and object store unavailable 50 ms after the commit."""
+    simulation.run_until(simulation.now_s + 0.05)
+    simulation.table_up = False
+    simulation.objects_up = False
 
 
-def region_cut(world: SyncSimulation) -> None:
-    """Cut three zones off from the others and the stores, until it heals."""
-    far = (4, 5, 6)
-    world.partitioned = lambda one, other: (zone_of(one) in far) != (
-        zone_of(other) in far
-    )
-    world.run_until(world.now_s + 30.0)
-    world.partitioned = lambda one, other: False
+def isolate_region(simulation: SyncSimulation) -> None:
+    """Partition three zones from the other zones and the stores for 30 s."""
+    isolated_zones = (4, 5, 6)
+    simulation.partitioned = lambda sender, receiver: (
+        zone_of(sender) in isolated_zones
+    ) != (zone_of(receiver) in isolated_zones)
+    simulation.run_until(simulation.now_s + 30.0)
+    simulation.partitioned = lambda sender, receiver: False
 
 
 FAULTS = (
     Fault("none"),
     Fault("table answers after 1.5 s", table_delay_s=1.5),
-    Fault("no process hears another", before=no_peers),
-    Fault("10% of peers' messages lost, 10% doubled", before=lossy),
-    Fault("one zone cut off from the table", before=cut_zone_from_stores),
-    Fault("one zone sends to one other zone only", before=one_way_zone),
-    Fault("one router alone reaches the table", before=only_one_reader),
-    Fault("table and objects away 50 ms after the change", begin=peers_only),
+    Fault("no process hears another", before_commit=drop_peer_messages),
+    Fault("10% of peers' messages lost, 10% doubled", before_commit=lose_messages),
+    Fault("one zone cut off from the table", before_commit=isolate_zone_from_stores),
+    Fault(
+        "one zone sends to one other zone only", before_commit=restrict_zone_to_one_way
+    ),
+    Fault(
+        "one router alone reaches the table", before_commit=limit_stores_to_one_router
+    ),
+    Fault("table and objects away 50 ms after the change", after_commit=disable_stores),
 )
 
-#: Cases in which no path exists for a while; seconds count from its return.
-HEALED = Fault("region cut off for 30 s, from its return on", begin=region_cut)
+#: A partition that leaves no path for a time; times count from the end of it.
+HEALED = Fault(
+    "region cut off for 30 s, from its return on", after_commit=isolate_region
+)
 
 
-def measure(fault: Fault, seed: int, changes: int) -> Spreading:
-    """Commit changes under a fault and time them at every process."""
-    result = Spreading()
+def measure(fault: Fault, seed: int, changes: int) -> Propagation:
+    """Commit changes under a fault and measure their propagation."""
+    result = Propagation()
     for number in range(changes):
-        world = new_world(seed + number, fault.table_delay_s)
-        fault.before(world)
-        world.run_until(world.now_s + 2.0 + number)
-        first_second = int(world.now_s) + 1
-        change = world.commit("t", 2.0 + number)
-        accepted_s = world.now_s
-        fault.begin(world)
+        simulation = new_simulation(seed + number, fault.table_delay_s)
+        fault.before_commit(simulation)
+        simulation.run_until(simulation.now_s + 2.0 + number)
+        first_second = int(simulation.now_s) + 1
+        change = simulation.commit("t", 2.0 + number)
+        accepted_s = simulation.now_s
+        fault.after_commit(simulation)
         reached = 0
         if fault is HEALED:
-            accepted_s = world.now_s
-            reached = world.count_serving(change.revision)
+            accepted_s = simulation.now_s
+            reached = simulation.count_serving(change.revision)
         result.reached_before += reached
-        follow(world, change.revision, accepted_s, result)
-        world.run_until(max(world.now_s, first_second + 10.0))
-        whole = range(first_second, int(world.now_s))
-        reads = [world.reads_by_second[second] for second in whole]
+        record_propagation(simulation, change.revision, accepted_s, result)
+        simulation.run_until(max(simulation.now_s, first_second + 10.0))
+        complete_seconds = range(first_second, int(simulation.now_s))
+        reads = [simulation.reads_by_second[second] for second in complete_seconds]
         result.reads_per_s.append(statistics.mean(reads))
         result.peak_reads = max(result.peak_reads, *reads)
     return result
 
 
-def follow(
-    world: SyncSimulation, revision: int, accepted_s: float, result: Spreading
+def record_propagation(
+    simulation: SyncSimulation, revision: int, accepted_s: float, result: Propagation
 ) -> None:
-    """Note when each process begins to serve under a revision."""
-    waiting = list(world.processes)
-    while waiting and world.now_s < accepted_s + LONGEST_S:
-        still = []
+    """Record when each process first serves under a revision."""
+    waiting = list(simulation.processes)
+    while waiting and simulation.now_s < accepted_s + TIMEOUT_S:
+        remaining = []
         for process in waiting:
             if process.scheduler.view.announced_revision >= revision:
-                result.seconds.append(world.now_s - accepted_s)
+                result.seconds.append(simulation.now_s - accepted_s)
             else:
-                still.append(process)
-        waiting = still
-        world.run_until(world.now_s + STEP_S)
+                remaining.append(process)
+        waiting = remaining
+        simulation.run_until(simulation.now_s + STEP_S)
     result.unreached += len(waiting)
 
 
-def print_spread(seed: int, changes: int, only: str) -> None:
-    """Print a row for each fault whose name holds ``only``."""
+def print_propagation(seed: int, changes: int, only: str) -> None:
+    """Print a row for each fault whose name contains ``only``."""
     print(f"Spread over {ROUTERS + SIDECARS} processes, {changes} changes a row")
     print("| fault | median s | 99% s | worst s | not reached | reads/s | peak |")
     print("|---|---|---|---|---|---|---|")
     for fault in (*FAULTS, HEALED):
         if only not in fault.name:
             continue
-        found = measure(fault, seed, changes)
-        # Processes that had the change when a cut healed are not counted.
-        seconds = sorted(found.seconds)[found.reached_before :]
+        result = measure(fault, seed, changes)
+        # Exclude processes that had the change before the partition healed.
+        seconds = sorted(result.seconds)[result.reached_before :]
         print(
             f"| {fault.name} | {statistics.median(seconds):.2f} "
             f"| {seconds[int(len(seconds) * 0.99)]:.2f} | {seconds[-1]:.2f} "
-            f"| {found.unreached} | {statistics.mean(found.reads_per_s):.0f} "
-            f"| {found.peak_reads} |",
+            f"| {result.unreached} | {statistics.mean(result.reads_per_s):.0f} "
+            f"| {result.peak_reads} |",
             flush=True,
         )
 
 
 def print_reports(seed: int) -> None:
-    """Print how many reports one change makes, beyond those of each minute."""
+    """Print the number of reports caused by a change, in addition to periodic ones."""
     idle, changed = [], []
     for change in (False, True):
-        world = new_world(seed, 0.01)
-        world.run_until(SETTLE_S + 60.0)
-        world.reports_by_second.clear()
+        simulation = new_simulation(seed, 0.01)
+        simulation.run_until(SETTLE_S + 60.0)
+        simulation.reports_by_second.clear()
         if change:
-            world.commit("t", 9.0)
-        world.run_until(world.now_s + 60.0)
-        counts = [world.reports_by_second[s] for s in world.reports_by_second]
+            simulation.commit("t", 9.0)
+        simulation.run_until(simulation.now_s + 60.0)
+        counts = [simulation.reports_by_second[s] for s in simulation.reports_by_second]
         (changed if change else idle).extend(counts)
     extra = sum(changed) - sum(idle)
     print(
         f"reports in 60 s: {sum(idle)} without a change, {sum(changed)} with one, "
         f"peak {max(changed)} a second"
     )
-    per_s = sum(idle) / 60 + extra * CHANGES_A_DAY / DAY_S
-    print(f"at {CHANGES_A_DAY} changes a day: {per_s:.1f} writes/s")
+    per_s = sum(idle) / 60 + extra * CHANGES_PER_DAY / DAY_S
+    print(f"at {CHANGES_PER_DAY} changes a day: {per_s:.1f} writes/s")
 
 
 def print_restart(seed: int) -> None:
-    """Print what a restart of all processes at once does."""
+    """Print startup times and table reads when all processes restart at once."""
     for stored in (True, False):
-        world = new_world(seed, 0.01)
-        world.run_until(SETTLE_S + 70.0)
+        simulation = new_simulation(seed, 0.01)
+        simulation.run_until(SETTLE_S + 70.0)
         if not stored:
-            world.stored = None
-        begin_s = world.now_s
-        world.full_loads = 0
-        for process in world.processes:
-            world.restart(process)
-        seconds = Spreading()
-        follow(world, 1, begin_s, seconds)
+            simulation.stored = None
+        started_s = simulation.now_s
+        simulation.full_loads = 0
+        for process in simulation.processes:
+            simulation.restart(process)
+        propagation = Propagation()
+        record_propagation(simulation, 1, started_s, propagation)
         peak = max(
             count
-            for second, count in world.reads_by_second.items()
-            if second >= int(begin_s)
+            for second, count in simulation.reads_by_second.items()
+            if second >= int(started_s)
         )
         name = "with" if stored else "without"
         print(
             f"restart of all {name} the object store's copy: all serve after "
-            f"{max(seconds.seconds):.2f} s, median "
-            f"{statistics.median(seconds.seconds):.2f} s, peak {peak} reads/s, "
-            f"{world.full_loads} load all from the table"
+            f"{max(propagation.seconds):.2f} s, median "
+            f"{statistics.median(propagation.seconds):.2f} s, peak {peak} reads/s, "
+            f"{simulation.full_loads} load all from the table"
         )
 
 
-class Relay:
-    """Forward one TCP connection at a time and count the bytes both ways."""
+class CountingProxy:
+    """Forward TCP connections and count the bytes in both directions."""
 
     def __init__(self, port: int) -> None:
         self.bytes = 0
-        self._target = ("127.0.0.1", port)
+        self._upstream_address = ("127.0.0.1", port)
         self._listener = socket.create_server(("127.0.0.1", 0))
         self.port: int = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
         while True:
-            near, _ = self._listener.accept()
-            far = socket.create_connection(self._target)
-            for one, other in ((near, far), (far, near)):
+            client, _ = self._listener.accept()
+            upstream = socket.create_connection(self._upstream_address)
+            for sender, receiver in ((client, upstream), (upstream, client)):
                 threading.Thread(
-                    target=self._pump, args=(one, other), daemon=True
+                    target=self._forward, args=(sender, receiver), daemon=True
                 ).start()
 
-    def _pump(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         while data := source.recv(65536):
             self.bytes += len(data)
             sink.sendall(data)
@@ -315,17 +336,17 @@
 
 @define
 class Cost:
-    """Hold what one call costs its daemon."""
+    """Cost of one call to the daemon that makes it."""
 
     wire_bytes: float
     cpu_ms: float
 
 
 def full_size_account(number: int = 0) -> Parameters:
-    """Return an account's parameters with its share of the budgets.
+    """Return the parameters of an account with its share of the budgets.
 
-    The names are random, since real ones repeat less than counted ones and a
-    message of counted names would be packed to a twentieth.
+    Budget names are random: numbered names would compress to a twentieth of their
+    size, which is unrealistic.
     """
     source = random.Random(number)
     count = BUDGETS // ACCOUNTS
@@ -333,18 +354,18 @@
     return Parameters(budgets=names, models=("planner", "planner+badges"))
 
 
-async def measure_calls(port: int, relay: Relay) -> dict[str, Cost]:
-    """Return the cost of each call that a daemon makes for its configuration."""
+async def measure_calls(port: int, proxy: CountingProxy) -> dict[str, Cost]:
+    """Measure each kind of table call that a daemon makes for its configuration."""
     credentials = Credentials("operator", "secret")
     direct = DynamoTable(f"http://127.0.0.1:{port}/table")
     table = DynamoTable(
-        f"http://127.0.0.1:{relay.port}/table",
+        f"http://127.0.0.1:{proxy.port}/table",
         credentials=credentials,
         client_name="vm-0123-0123456789ab",
     )
     operation = Operation("op", "ana", time.time())
     await create_account(direct, operation, "lobby", parameters=full_size_account())
-    heard = {f"vm-{number:04d}": 1 for number in range(16)}
+    observed_revisions = {f"vm-{number:04d}": 1 for number in range(16)}
 
     async def poll() -> None:
         assert isinstance(await load_changes(table, 1, timeout_s=2), Done)
@@ -353,8 +374,8 @@
         assert isinstance(await load_changes(table, 0, timeout_s=2), Done)
 
     async def report() -> None:
-        said = AdoptionReport("vm-0123", 1, time.time(), heard)
-        assert isinstance(await write_report(table, said, timeout_s=2), Done)
+        adoption_report = AdoptionReport("vm-0123", 1, time.time(), observed_revisions)
+        assert isinstance(await write_report(table, adoption_report, timeout_s=2), Done)
 
     costs = {}
     for name, call, count in (
@@ -363,31 +384,31 @@
         ("report of 17 daemons", report, 200),
     ):
         await call()
-        bytes_before, cpu_before = relay.bytes, time.thread_time()
+        bytes_before, cpu_before = proxy.bytes, time.thread_time()
         for _ in range(count):
             await call()
         cpu_s = time.thread_time() - cpu_before
         await anyio.sleep(0.05)
-        costs[name] = Cost((relay.bytes - bytes_before) / count, cpu_s / count * 1000)
+        costs[name] = Cost((proxy.bytes - bytes_before) / count, cpu_s / count * 1000)
     await direct.close()
     await table.close()
     return costs
 
 
 def print_calls() -> None:
-    """Print bytes and processor time of each call, and of a daemon a second."""
+    """Print bytes and CPU time per call, and per second for each kind of daemon."""
     with start_blocking_portal() as portal:
         app = served(StandinPlatform(), lifespan=False)
         with portal.wrap_async_context_manager(app) as url:
             port = int(url.rpartition(":")[2])
-            costs = anyio.run(measure_calls, port, Relay(port))
+            costs = anyio.run(measure_calls, port, CountingProxy(port))
     print("| call | bytes both ways | processor ms |")
     print("|---|---|---|")
     for name, cost in costs.items():
         print(f"| {name} | {cost.wire_bytes:.0f} | {cost.cpu_ms:.2f} |")
     poll, change, report = costs.values()
-    change_hz = CHANGES_A_DAY / DAY_S
-    # A change costs a router two reports or three; see print_reports.
+    change_hz = CHANGES_PER_DAY / DAY_S
+    # A change causes two or three reports per router; see print_reports.
     report_hz = 1 / 60 + 3 * change_hz
     poll_s = SyncSettings().poll_s
     total = poll.wire_bytes / poll_s + change.wire_bytes * change_hz
@@ -426,7 +447,7 @@
 
 
 def print_sizes() -> None:
-    """Print what the configuration weighs in a message and in memory."""
+    """Print the size of the configuration as a message and in memory."""
     documents = full_documents()
     body = encode_message(DocumentsMessage(documents))
     timings = {
@@ -439,41 +460,43 @@
     timings["resolve one account's change"] = lambda: resolve_changed(
         snapshot, documents, frozenset({name})
     )
-    print(f"whole configuration: {len(body)} bytes packed")
+    print(f"complete configuration: {len(body)} bytes packed")
     for what, call in timings.items():
-        best = min(timed(call) for _ in range(5))
+        best = min(measure_cpu_s(call) for _ in range(5))
         print(f"{what}: {best * 1000:.1f} ms")
     tracemalloc.start()
     parsed = parse_message(body)
     assert isinstance(parsed, Done) and isinstance(parsed.value, DocumentsMessage)
-    kept = (parsed.value.documents, resolve(parsed.value.documents))
+    retained = (parsed.value.documents, resolve(parsed.value.documents))
     used, peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    print(f"memory: {used / 1e6:.1f} MB kept, {peak / 1e6:.1f} MB at the peak")
-    del kept
+    print(f"memory: {used / 1e6:.1f} MB retained, {peak / 1e6:.1f} MB at the peak")
+    del retained
     change = ChangesMessage(0, ())  # type: ignore[arg-type]
     print(f"empty answer of a peer: {len(encode_message(change))} bytes")
 
 
-def timed(call: Callable[[], object]) -> float:
-    """Return the processor seconds of a call."""
+def measure_cpu_s(call: Callable[[], object]) -> float:
+    """Return the CPU time of a call in seconds."""
     start_s = time.process_time()
     call()
     return time.process_time() - start_s
 
 
 def main() -> None:
-    """Run all parts."""
+    """Run all parts, or the part selected on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--changes", type=int, default=3)
-    parser.add_argument("--only", default="", help="only faults of such a name")
+    parser.add_argument(
+        "--only", default="", help="only faults whose name contains this text"
+    )
     parser.add_argument("--spread-only", action="store_true")
     parser.add_argument("--restart-only", action="store_true")
     parser.add_argument("--reports-only", action="store_true")
     options = parser.parse_args()
     if options.spread_only:
-        print_spread(options.seed, options.changes, options.only)
+        print_propagation(options.seed, options.changes, options.only)
         return
     if options.reports_only:
         print_reports(options.seed)
@@ -485,7 +508,7 @@
     print_sizes()
     print_reports(options.seed)
     print_restart(options.seed)
-    print_spread(options.seed, options.changes, options.only)
+    print_propagation(options.seed, options.changes, options.only)
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,6 +1,7 @@
-"""Run the bench of decisions under load: ``make bench-decisions``.
+"""Benchmark placement decisions under load: ``make bench-decisions``.
 
-Virtual time and a seed decide everything, so that two runs print the same.
+Simulations run in virtual time and depend on the seed only, so that two runs print the
+same results.
 """
 
 from __future__ import annotations
@@ -23,21 +24,21 @@
 )
 from benchmarks.decisions_loads import LOADS, make_load
 from benchmarks.decisions_outcomes import Summary, summarise
-from benchmarks.decisions_world import MakeRouter, World
+from benchmarks.decisions_world import RouterFactory, World
 
 from endivegw.decisions import Dispatcher, Policy
 from endivegw.types import AvailabilityZone
 
-__all__ = ["DEFAULT_SEED", "makers", "run_one"]
+__all__ = ["DEFAULT_SEED", "router_factories", "run_one"]
 
 DEFAULT_SEED = 7
 
-#: Runs at the same time.
+#: Number of worker processes.
 PROCESSES = 3
 
 
-def makers(policy: Policy, routers: int) -> dict[str, MakeRouter]:
-    """Return what makes a router, for each name in the tables."""
+def router_factories(policy: Policy, routers: int) -> dict[str, RouterFactory]:
+    """Return the factory of each kind of router, by its name in the tables."""
 
     def dispatcher(zone: AvailabilityZone, rng: random.Random) -> Dispatcher:
         return Dispatcher(policy, zone, rng)
@@ -55,7 +56,10 @@
 
 @frozen
 class Run:
-    """Name one run: a load and a router."""
+    """Parameters of one run.
+
+    :param import_tokens_per_s: see :class:`EngineSpec`.
+    """
 
     load: str
     router: str
@@ -78,8 +82,8 @@
     load = attrs.evolve(
         load, targets=targets, report_with_answers=run.report_with_answers
     )
-    make = makers(run.policy, load.routers)[run.router]
-    world = World(load, make, run.seed, oracle=run.router.startswith("oracle"))
+    factory = router_factories(run.policy, load.routers)[run.router]
+    world = World(load, factory, run.seed, oracle=run.router.startswith("oracle"))
     world.run()
     return summarise(world)
 
@@ -105,7 +109,7 @@
 
 
 def print_table(runs: list[Run], summaries: list[Summary]) -> None:
-    """Print one line for each run."""
+    """Print a table with one line for each run."""
     print(f"{'load':18}{'router':18}" + "".join(f"{c[1]:>9}" for c in COLUMNS))
     for run, summary in zip(runs, summaries):
         cells = "".join(f"{f.format(getattr(summary, n)):>9}" for n, _, f in COLUMNS)
@@ -113,7 +117,7 @@
 
 
 def main() -> None:
-    """Run what the command line names and print the table."""
+    """Run the loads and routers named on the command line and print a table."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=DEFAULT_SEED)
     parser.add_argument("--loads", default="", help="names, comma separated")
@@ -122,13 +126,13 @@
     parser.add_argument(
         "--report-with-answers",
         action="store_true",
-        help="let each answer's end carry the target's present load",
+        help="report the current load of the target at the end of each answer",
     )
     parser.add_argument(
         "--import-tokens-per-s",
         type=float,
         default=0.0,
-        help="let engines import cached blocks from each other at this speed",
+        help="speed at which engines import cached blocks from each other",
     )
     parser.add_argument("--json", default="", help="write the figures to this file")
     options = parser.parse_args()
@@ -139,19 +143,28 @@
             policy, **{name: type(getattr(policy, name))(float(value))}
         )
     loads = [n for n in options.loads.split(",") if n] or list(LOADS)
-    routers = [n for n in options.routers.split(",") if n] or list(makers(policy, 1))
-    fresh = options.report_with_answers
+    routers = [n for n in options.routers.split(",") if n] or list(
+        router_factories(policy, 1)
+    )
+    report_with_answers = options.report_with_answers
     runs = [
-        Run(load, router, options.seed, policy, fresh, options.import_tokens_per_s)
+        Run(
+            load,
+            router,
+            options.seed,
+            policy,
+            report_with_answers,
+            options.import_tokens_per_s,
+        )
         for load in loads
         for router in routers
     ]
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     with multiprocessing.get_context("spawn").Pool(PROCESSES) as pool:
         summaries = pool.map(run_one, runs, chunksize=1)
     print(f"seed {options.seed}, policy {policy}")
     print_table(runs, summaries)
-    print(f"{len(runs)} runs in {time.perf_counter() - began_s:.1f} s")
+    print(f"{len(runs)} runs in {time.perf_counter() - started_s:.1f} s")
     if options.json:
         path = pathlib.Path(options.json)
         path.parent.mkdir(parents=True, exist_ok=True)
--- a/benchmarks/decisions_baselines.py
+++ b/benchmarks/decisions_baselines.py
@@ -1,4 +1,4 @@
-"""What the decision code is measured against, behind the same names."""
+"""Baseline routers with the interface of the dispatcher."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class Router(Protocol):
-    """What the world calls; the dispatcher's own names."""
+    """Interface that the simulation calls, a subset of that of the dispatcher."""
 
     def set_targets(self, views: Iterable[TargetView], now_s: float) -> None: ...
 
@@ -60,18 +60,21 @@
 
 
 def placed(item: WorkItem, view: TargetView, now_s: float) -> Placement:
-    """Return a placement without figures."""
+    """Return a placement without meaningful figures."""
     figures = PlacementFigures(0.0, 0, 0, now_s - item.arrived_s, 0.0, 0.0, 0)
     return Placement(item, view.target, view.instance_id, view.address, "", figures)
 
 
 @define(eq=False)
-class Simple:
-    """Place at once, whatever the load; the target's queue takes the rest."""
+class ImmediateRouter:
+    """Place requests immediately, regardless of load; targets queue the excess.
+
+    :ivar outstanding: requests of this router in progress, by target.
+    """
 
     rng: random.Random
     views: list[TargetView] = field(factory=list)
-    own: dict[TargetName, int] = field(factory=dict)
+    outstanding: dict[TargetName, int] = field(factory=dict)
 
     def set_targets(self, views: Iterable[TargetView], now_s: float) -> None:
         self.views = [view for view in views if not view.draining]
@@ -94,7 +97,7 @@
         if not views:
             return Refused(Reason.NO_TARGET)
         view = self.choose(views, item)
-        self.own[view.target] = self.own.get(view.target, 0) + 1
+        self.outstanding[view.target] = self.outstanding.get(view.target, 0) + 1
         return placed(item, view, now_s)
 
     def poll(self, now_s: float) -> list[Placement | Expired]:
@@ -112,74 +115,76 @@
     def ended(
         self, request_id: str, target: TargetName, result: AttemptEnd, now_s: float
     ) -> None:
-        self.own[target] -= 1
+        self.outstanding[target] -= 1
 
     def cancel(self, request_id: str, now_s: float) -> None:
         pass
 
 
 @define(eq=False)
-class RoundRobin(Simple):
-    """Go round the targets."""
+class RoundRobin(ImmediateRouter):
+    """Choose targets in rotation."""
 
-    turn: int = 0
+    next_index: int = 0
 
     def choose(self, views: list[TargetView], item: WorkItem) -> TargetView:
-        self.turn += 1
-        return views[self.turn % len(views)]
+        self.next_index += 1
+        return views[self.next_index % len(views)]
 
 
-class RandomChoice(Simple):
-    """Draw a target."""
+class RandomChoice(ImmediateRouter):
+    """Choose a random target."""
 
     def choose(self, views: list[TargetView], item: WorkItem) -> TargetView:
         return self.rng.choice(views)
 
 
-class LeastOutstanding(Simple):
-    """Take the target with the least work of this router."""
+class LeastOutstanding(ImmediateRouter):
+    """Choose the target with the fewest outstanding requests of this router."""
 
     def choose(self, views: list[TargetView], item: WorkItem) -> TargetView:
-        least = min(self.own.get(view.target, 0) for view in views)
-        return self.rng.choice([v for v in views if self.own.get(v.target, 0) == least])
+        min_outstanding = min(self.outstanding.get(view.target, 0) for view in views)
+        return self.rng.choice(
+            [v for v in views if self.outstanding.get(v.target, 0) == min_outstanding]
+        )
 
 
 @define(eq=False)
 class Fifo(LeastOutstanding):
-    """Queue in the router, first in first out, without bound and admission."""
+    """Queue requests in the router in FIFO order, without limit or admission."""
 
     routers: int = 1
     queues: dict[str, deque[WorkItem]] = field(factory=dict)
 
-    def _room(self, item: WorkItem) -> list[TargetView]:
+    def _targets_with_free_slots(self, item: WorkItem) -> list[TargetView]:
         return [
             view
             for view in self.eligible(item)
-            if self.own.get(view.target, 0) < max(1, view.slots // self.routers)
+            if self.outstanding.get(view.target, 0) < max(1, view.slots // self.routers)
         ]
 
     def submit(self, item: WorkItem, now_s: float) -> Placement | Queued | Refused:
         if not self.eligible(item):
             return Refused(Reason.NO_TARGET)
         queue = self.queues.setdefault(item.model, deque())
-        views = self._room(item)
+        views = self._targets_with_free_slots(item)
         if queue or not views:
             queue.append(item)
             return Queued(0.0, len(queue) - 1)
         view = self.choose(views, item)
-        self.own[view.target] = self.own.get(view.target, 0) + 1
+        self.outstanding[view.target] = self.outstanding.get(view.target, 0) + 1
         return placed(item, view, now_s)
 
     def poll(self, now_s: float) -> list[Placement | Expired]:
         decided: list[Placement | Expired] = []
         for queue in self.queues.values():
             while queue:
-                views = self._room(queue[0])
+                views = self._targets_with_free_slots(queue[0])
                 if not views:
                     break
                 item = queue.popleft()
                 view = self.choose(views, item)
-                self.own[view.target] = self.own.get(view.target, 0) + 1
+                self.outstanding[view.target] = self.outstanding.get(view.target, 0) + 1
                 decided.append(placed(item, view, now_s))
         return decided
 
@@ -192,20 +197,20 @@
 
 
 @define(eq=False)
-class Oracle(Simple):
-    """Place for all routers at once with perfect knowledge of the targets.
+class Oracle(ImmediateRouter):
+    """Place the requests of all routers with perfect knowledge of the targets.
 
-    It knows each engine's state, each request's true output and every fault.
-    It serves by priority, then earliest latest start, on the target where the
-    work ends first, and gives up what cannot end in time any more.
+    The oracle knows the state of each engine, the actual output length of each request
+    and every fault. It serves requests by priority, then by latest start time, on the
+    target where they end first, and expires requests that cannot end in time any more.
 
-    :param blind: whether it knows only the mean output of a request's kind.
+    :param blind: whether the oracle knows only the mean output of the request kind.
     """
 
     blind: bool = False
     engines: dict[TargetName, Engine] = field(factory=dict)
     outputs: dict[str, int] = field(factory=dict)
-    taken: dict[TargetName, int] = field(factory=dict)
+    reserved: dict[TargetName, int] = field(factory=dict)
     queues: dict[str, list[tuple[int, float, int, WorkItem]]] = field(factory=dict)
     order: int = 0
     decided: list[Placement | Expired] = field(factory=list)
@@ -216,11 +221,11 @@
         placement = self._place(item, now_s)
         if placement is not None:
             return placement
-        alone_s = self.outputs[item.request_id] * 0.05 + 0.3
+        min_duration_s = self.outputs[item.request_id] * 0.05 + 0.3
         self.order += 1
         queue = self.queues.setdefault(item.model, [])
-        latest = item.deadline_s - alone_s
-        heapq.heappush(queue, (int(item.priority), latest, self.order, item))
+        latest_start_s = item.deadline_s - min_duration_s
+        heapq.heappush(queue, (int(item.priority), latest_start_s, self.order, item))
         return Queued(0.0, 0)
 
     def _place(self, item: WorkItem, now_s: float) -> Placement | None:
@@ -231,40 +236,40 @@
             if engine.failing or engine.running + engine.waiting >= view.slots:
                 continue
             engine.advance(now_s)
-            taken_s = engine.remaining_s(
+            duration_s = engine.remaining_s(
                 item.prompt_tokens,
                 output,
                 item.prefix_digests,
                 bool(self.queues.get(item.model)),
             )
-            if now_s + taken_s <= item.deadline_s and (
-                best is None or taken_s < best[0]
+            if now_s + duration_s <= item.deadline_s and (
+                best is None or duration_s < best[0]
             ):
-                best = (taken_s, view)
+                best = (duration_s, view)
         if best is None:
             return None
         view = best[1]
-        self.own[view.target] = self.own.get(view.target, 0) + 1
+        self.outstanding[view.target] = self.outstanding.get(view.target, 0) + 1
         return placed(item, view, now_s)
 
     def poll(self, now_s: float) -> list[Placement | Expired]:
         waiting = [queue for queue in self.queues.values() if queue]
-        # Models share slots: the first of all queues is served first.
+        # Models share slots, so serve the first request of all queues first.
         for queue in sorted(waiting, key=lambda entries: entries[0][:3]):
-            _, latest, _, item = queue[0]
-            if latest < now_s:
+            _, latest_start_s, _, item = queue[0]
+            if latest_start_s < now_s:
                 heapq.heappop(queue)
                 return [Expired(item, "", None)]
             placement = self._place(item, now_s)
             if placement is not None:
                 heapq.heappop(queue)
                 return [placement]
-            if self._has_room(item):
+            if self._has_free_slot(item):
                 heapq.heappop(queue)
                 return [Expired(item, "", None)]
         return []
 
-    def _has_room(self, item: WorkItem) -> bool:
+    def _has_free_slot(self, item: WorkItem) -> bool:
         for view in self.eligible(item):
             engine = self.engines[view.target]
             free = engine.running + engine.waiting < view.slots
--- a/benchmarks/decisions_cost.py
+++ b/benchmarks/decisions_cost.py
@@ -1,7 +1,7 @@
-"""What one placement costs, by size of the fleet and number of accounts.
+"""Measure the CPU time of a placement by fleet size and number of accounts.
 
-Run by ``python -m benchmarks.decisions_cost``; it measures processor time, so
-that its figures vary from run to run, by some tenths.
+Run with ``python -m benchmarks.decisions_cost``. The figures are CPU times and vary
+between runs by some tenths.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
         for number in range(accounts)
         for kind in (KIOSK, EXPLAIN, PLAN)
     ]
-    found = draw_arrivals(streams, REQUESTS / (len(streams) * 40.0), 1, rng)
-    return found[:REQUESTS]
+    result = draw_arrivals(streams, REQUESTS / (len(streams) * 40.0), 1, rng)
+    return result[:REQUESTS]
 
 
 def _dispatcher(targets: int) -> Dispatcher:
@@ -69,58 +69,58 @@
     return dispatcher
 
 
-def measure(targets: int, accounts: int, held: int) -> tuple[float, float]:
-    """Return microseconds for a placement, and for a whole request.
+def measure(targets: int, accounts: int, concurrent: int) -> tuple[float, float]:
+    """Return the microseconds per placement and per complete request.
 
-    A whole request is its placement, first token, end and the polls between.
+    A complete request comprises its placement, first token, end and a poll.
 
-    :param held: requests that run at the same time.
+    :param concurrent: number of concurrent requests.
     """
-    placing: list[float] = []
-    whole: list[float] = []
+    placement_us: list[float] = []
+    request_us: list[float] = []
     for _ in range(ROUNDS):
         dispatcher = _dispatcher(targets)
         running: list[Placement] = []
-        spent_s = 0.0
+        submit_s = 0.0
         placed = 0
-        began_s = time.process_time()
+        started_s = time.process_time()
         for arrival in _requests(accounts):
             now_s = arrival.at_s
             before_s = time.process_time()
             decided = dispatcher.submit(arrival.item, now_s)
-            spent_s += time.process_time() - before_s
+            submit_s += time.process_time() - before_s
             if not isinstance(decided, Placement):
-                raise SystemExit(f"not placed: {decided}")
+                raise SystemExit(f"request was not placed: {decided}")
             placed += 1
             running.append(decided)
             dispatcher.first_token(decided.item.request_id, now_s)
-            if len(running) > held:
-                old = running.pop(0)
-                end = AttemptEnd(AttemptKind.OK, old.item.prompt_tokens, 60)
-                dispatcher.ended(old.item.request_id, old.target, end, now_s)
+            if len(running) > concurrent:
+                oldest = running.pop(0)
+                end = AttemptEnd(AttemptKind.OK, oldest.item.prompt_tokens, 60)
+                dispatcher.ended(oldest.item.request_id, oldest.target, end, now_s)
                 dispatcher.poll(now_s)
-        whole.append((time.process_time() - began_s) / placed * 1e6)
-        placing.append(spent_s / placed * 1e6)
-    return min(placing), min(whole)
+        request_us.append((time.process_time() - started_s) / placed * 1e6)
+        placement_us.append(submit_s / placed * 1e6)
+    return min(placement_us), min(request_us)
 
 
 def slope(points: list[tuple[int, float]]) -> float:
-    """Return the least-squares slope."""
+    """Return the slope of the least-squares line."""
     xs = [float(x) for x, _ in points]
     ys = [y for _, y in points]
     return statistics.linear_regression(xs, ys).slope
 
 
 def main() -> None:
-    """Print the cost table and the slope over the fleet's size."""
+    """Print the cost table and the slope over the number of targets."""
     print("targets accounts placement_us request_us placements_per_s")
     points = []
     for targets, accounts in ((12, 10), (24, 280), (100, 280), (325, 280), (650, 280)):
-        placing, whole = measure(targets, accounts, min(400, 8 * targets))
-        line = f"{targets:7} {accounts:8} {placing:12.1f} {whole:10.1f}"
-        print(f"{line} {1e6 / whole:16.0f}")
+        placement_us, request_us = measure(targets, accounts, min(400, 8 * targets))
+        line = f"{targets:7} {accounts:8} {placement_us:12.1f} {request_us:10.1f}"
+        print(f"{line} {1e6 / request_us:16.0f}")
         if accounts == 280:
-            points.append((targets, placing))
+            points.append((targets, placement_us))
     print(f"slope {slope(points) * 100:.2f} microseconds per 100 targets")
 
 
--- a/benchmarks/decisions_loads.py
+++ b/benchmarks/decisions_loads.py
@@ -1,4 +1,4 @@
-"""The loads of the bench: a fleet, streams of requests, and what goes wrong."""
+"""Loads of the benchmark: a fleet, streams of requests and faults."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @frozen
 class TargetSpec:
-    """Hold one target of a load."""
+    """A target of a load."""
 
     name: str
     availability_zone: AvailabilityZone
@@ -45,10 +45,10 @@
 
 @frozen
 class Fault:
-    """Hold what goes wrong with one target, from when to when."""
+    """A fault of one target and its time span."""
 
     target: str
-    begin_s: float
+    start_s: float
     end_s: float
     speed: float = 1.0
     failing: bool = False
@@ -58,15 +58,16 @@
 
 @frozen
 class Load:
-    """Hold one load in whole.
-
-    :param offered: offered work as a share of capacity, for the reader.
-    :param caller_retries: how often a caller comes back after a refusal or a
-        timeout.
-    :param subsets: the targets that each router sees; all where empty.
-    :param report_with_answers: whether each answer's end carries the target's
-        present load to the router that it goes to.
-    :param measured_from_s: when the figures begin, after the caches are warm.
+    """A fleet with its requests and faults.
+
+    :param offered: offered work as a share of capacity, for information only.
+    :param caller_retries: number of retries of a caller after a refusal or timeout.
+    :param measured_from_s: start of the measurement, after the caches are warm.
+    :param report_lag_s: delay between reading and receiving a load report.
+    :param event_loss: share of cache events that are lost.
+    :param subsets: the targets known to each router; all if empty.
+    :param report_with_answers: whether the end of each answer reports the current load
+        of the target to the router.
     """
 
     name: str
@@ -114,11 +115,11 @@
     faults: tuple[Fault, ...] = (),
     caller_retries: int = 0,
     extra: Callable[[], list[Stream]] = list,
-    **mixed: object,
+    **options: object,
 ) -> Load:
     rng = random.Random(f"{name}/{seed}")
     slots = ENGINES * ENGINE.slots
-    streams = mixed_streams(slots, offered, peak, **mixed)  # type: ignore[arg-type]
+    streams = mixed_streams(slots, offered, peak, **options)  # type: ignore[arg-type]
     streams += extra()
     mean = sum(offered(s * duration_s / 200) for s in range(200)) / 200
     return Load(
@@ -149,11 +150,11 @@
     return 0.3 if now_s < 12.0 else 0.3 + 1.2 * math.exp(-(now_s - 12.0) / 12.0)
 
 
-def _polls() -> list[Stream]:
+def _poll_streams() -> list[Stream]:
     return [Stream(f"account-{n}", POLL, constant(8.0), 8.0) for n in range(10)]
 
 
-def _one_large() -> list[Stream]:
+def _large_account_streams() -> list[Stream]:
     large = ENGINES * ENGINE.slots * 2.0 / slot_seconds(EXPLAIN)
     return [Stream("account-large", EXPLAIN, constant(large), large)]
 
@@ -168,37 +169,37 @@
 
 
 _SLOW = Fault("engine-3", 15.0, 30.0, speed=0.2)
-_FAILS = Fault("engine-3", 15.0, 30.0, failing=True)
-_STUCK = Fault("engine-3", 15.0, 30.0, speed=0.2, frozen=True)
-_DRAINS = Fault("engine-3", 15.0, 45.0, draining=True)
+_FAILING = Fault("engine-3", 15.0, 30.0, failing=True)
+_FROZEN = Fault("engine-3", 15.0, 30.0, speed=0.2, frozen=True)
+_DRAINING = Fault("engine-3", 15.0, 45.0, draining=True)
 
 _LOADS: dict[str, Callable[..., Load]] = {
     "steady-0.6": partial(
-        _load, "steady-0.6", offered=constant(0.6), peak=0.6, extra=_polls
+        _load, "steady-0.6", offered=constant(0.6), peak=0.6, extra=_poll_streams
     ),
     "steady-0.85": partial(
-        _load, "steady-0.85", offered=constant(0.85), peak=0.85, extra=_polls
+        _load, "steady-0.85", offered=constant(0.85), peak=0.85, extra=_poll_streams
     ),
-    "bursts": partial(_load, "bursts", offered=_burst, peak=3.0, extra=_polls),
+    "bursts": partial(_load, "bursts", offered=_burst, peak=3.0, extra=_poll_streams),
     "skewed-accounts": partial(
         _load,
         "skewed-accounts",
         offered=constant(0.5),
         peak=0.5,
         skew=0.0,
-        extra=_one_large,
+        extra=_large_account_streams,
     ),
     "slow-target": partial(
         _load, "slow-target", offered=constant(0.75), peak=0.75, faults=(_SLOW,)
     ),
     "fail-fast-target": partial(
-        _load, "fail-fast-target", offered=constant(0.75), peak=0.75, faults=(_FAILS,)
+        _load, "fail-fast-target", offered=constant(0.75), peak=0.75, faults=(_FAILING,)
     ),
     "frozen-reports": partial(
-        _load, "frozen-reports", offered=constant(0.75), peak=0.75, faults=(_STUCK,)
+        _load, "frozen-reports", offered=constant(0.75), peak=0.75, faults=(_FROZEN,)
     ),
     "drain": partial(
-        _load, "drain", offered=constant(0.75), peak=0.75, faults=(_DRAINS,)
+        _load, "drain", offered=constant(0.75), peak=0.75, faults=(_DRAINING,)
     ),
     "long-and-short": partial(
         _load, "long-and-short", offered=constant(1.1), peak=1.1, kinds=_LONG_SHORT
@@ -227,7 +228,7 @@
         peak=1.0,
         duration_s=90.0,
         kinds=((PLAN, 0.5), (EXPLAIN, 0.5)),
-        extra=_polls,
+        extra=_poll_streams,
     ),
     "lobby-opening": partial(
         _load,
@@ -243,8 +244,8 @@
 
 
 def make_load(name: str, seed: int) -> Load:
-    """Return one load.
+    """Return a load by name.
 
-    :param seed: decides all that is drawn.
+    :param seed: seed of all random values.
     """
     return _LOADS[name](seed=seed)
--- a/benchmarks/decisions_outcomes.py
+++ b/benchmarks/decisions_outcomes.py
@@ -1,4 +1,4 @@
-"""What callers saw of a load, as one line of figures."""
+"""Summary of the outcomes that callers observe under a load."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @frozen
 class Summary:
-    """Hold the figures of one run; times in seconds, shares from 0 to 1.
-
-    :param good: requests whole within their deadline, of those offered.
-    :param good_tokens: prompt and output tokens of those, of those offered.
-    :param good_tokens_per_s: the same per second of the measured time.
-    :param false_refusals: refused or given up while a target had room and
-        would have ended it in time, of those offered.
-    :param first_p95_s: until the first token, of requests answered in time.
-    :param urgent_p95_s: whole answers to urgent model requests.
-    :param told_p95_s: until the final answer of those that got no good one.
-    :param fairness: the lowest share that an account got of what it asked for
-        or, where that is less, of its equal part of what was served.
-    :param hit_share: prompt tokens found in caches.
-    :param comebacks_served: refused callers served when they came back after
-        the time they were told.
+    """Figures of one run; times in seconds, shares from 0 to 1.
+
+    :param good: share of requests completed within their deadline.
+    :param good_tokens: share of offered prompt and output tokens in good requests.
+    :param good_tokens_per_s: tokens of good requests per second of the measurement.
+    :param false_refusals: share of requests that were refused or expired although a
+        target had capacity to complete them in time.
+    :param first_p95_s: time to the first token of good requests.
+    :param urgent_p95_s: time to the complete answer of good urgent model requests.
+    :param told_p95_s: time to the final answer of requests that were not good.
+    :param fairness: the lowest ratio over accounts of served tokens to the fair share,
+        which is the demand or the max-min fair share, whichever is less.
+    :param hit_share: share of prompt tokens found in caches.
+    :param comebacks_served: share of good outcomes among retries sent after the advised
+        ``retry_after_s``.
     """
 
     requests: int
@@ -52,7 +52,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return a percentile by nearest rank; nan where there is none."""
+    """Return a percentile by nearest rank, or nan if there are no values."""
     if not values:
         return float("nan")
     ordered = sorted(values)
@@ -63,32 +63,39 @@
     return record.arrival.item.prompt_tokens + record.arrival.output_tokens
 
 
-def _equal_part(demands: list[float], capacity: float) -> float:
-    """Return the level to which water fills vessels of these sizes."""
-    left = capacity
+def _max_min_share(demands: list[float], capacity: float) -> float:
+    """Return the max-min fair share of the capacity; inf if it covers all demands."""
+    remaining = capacity
     for number, demand in enumerate(sorted(demands)):
-        level = left / (len(demands) - number)
+        level = remaining / (len(demands) - number)
         if demand >= level:
             return level
-        left -= demand
+        remaining -= demand
     return float("inf")
 
 
 def fairness(records: list[Record]) -> float:
-    """Return the lowest share of its due that an account got."""
-    asked: dict[str, float] = defaultdict(float)
-    got: dict[str, float] = defaultdict(float)
+    """Return the lowest ratio of served tokens to fair share over all accounts."""
+    demand_tokens: dict[str, float] = defaultdict(float)
+    served_tokens: dict[str, float] = defaultdict(float)
     for record in records:
         account = record.arrival.item.client_account
-        asked[account] += _tokens(record)
+        demand_tokens[account] += _tokens(record)
         if record.outcome == Outcome.GOOD:
-            got[account] += _tokens(record)
-    level = _equal_part(list(asked.values()), sum(got.values()))
-    return min(got[name] / min(asked[name], level) for name in asked) if asked else 1.0
+            served_tokens[account] += _tokens(record)
+    level = _max_min_share(list(demand_tokens.values()), sum(served_tokens.values()))
+    return (
+        min(
+            served_tokens[name] / min(demand_tokens[name], level)
+            for name in demand_tokens
+        )
+        if demand_tokens
+        else 1.0
+    )
 
 
 def summarise(world: World) -> Summary:
-    """Return the figures of a finished run."""
+    """Return the summary of a finished run."""
     load = world.load
     measured = [
         record
@@ -99,10 +106,10 @@
     good = [record for record in measured if record.outcome == Outcome.GOOD]
     model = [r for r in good if not r.arrival.item.model.startswith("service:")]
     urgent = [r for r in model if r.arrival.item.priority is Priority.URGENT]
-    others = [r.told_s for r in measured if r.outcome != Outcome.GOOD]
+    other_times_s = [r.response_s for r in measured if r.outcome != Outcome.GOOD]
     offered = sum(_tokens(record) for record in measured)
     served = sum(_tokens(record) for record in good)
-    back = [r for r in measured if r.told_back]
+    advised_retries = [r for r in measured if r.is_advised_retry]
 
     def share(outcome: str) -> float:
         return sum(1 for r in measured if r.outcome == outcome) / count
@@ -118,18 +125,19 @@
         refused=share(Outcome.REFUSED),
         expired=share(Outcome.EXPIRED),
         failed=share(Outcome.FAILED),
-        false_refusals=sum(1 for r in measured if r.room) / count,
-        p50_s=percentile([r.told_s for r in model], 0.5),
-        p95_s=percentile([r.told_s for r in model], 0.95),
-        p99_s=percentile([r.told_s for r in model], 0.99),
+        false_refusals=sum(1 for r in measured if r.had_capacity) / count,
+        p50_s=percentile([r.response_s for r in model], 0.5),
+        p95_s=percentile([r.response_s for r in model], 0.95),
+        p99_s=percentile([r.response_s for r in model], 0.99),
         first_p95_s=percentile([r.first_s or 0.0 for r in model], 0.95),
-        urgent_p95_s=percentile([r.told_s for r in urgent], 0.95),
-        told_p95_s=percentile(others, 0.95),
+        urgent_p95_s=percentile([r.response_s for r in urgent], 0.95),
+        told_p95_s=percentile(other_times_s, 0.95),
         fairness=fairness(measured),
         hit_share=hits / max(1, prompts),
         comebacks_served=(
-            sum(1 for r in back if r.outcome == Outcome.GOOD) / len(back)
-            if back
+            sum(1 for r in advised_retries if r.outcome == Outcome.GOOD)
+            / len(advised_retries)
+            if advised_retries
             else float("nan")
         ),
     )
--- a/benchmarks/decisions_plots.py
+++ b/benchmarks/decisions_plots.py
@@ -1,8 +1,8 @@
 """Draw one plot per load: ``python -m benchmarks.decisions_plots``.
 
-It needs matplotlib, which the extra ``plots`` brings; all else runs without.
-Each plot shows, per second of virtual time, what callers of that second were
-told in the end, and carries the run's seed and settings.
+Requires matplotlib from the extra ``plots``. Each plot shows the outcomes of requests
+by the second of their submission in virtual time, with the seed. The settings are
+written to a JSON file.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from typing import Any
 
 from attrs import asdict
-from benchmarks.decisions import DEFAULT_SEED, makers
+from benchmarks.decisions import DEFAULT_SEED, router_factories
 from benchmarks.decisions_loads import LOADS, make_load
 from benchmarks.decisions_world import Outcome, Record, World
 
@@ -38,7 +38,7 @@
 def outcomes_by_second(
     records: list[Record], duration_s: float
 ) -> dict[str, list[int]]:
-    """Return how many callers of each second ended in each outcome."""
+    """Return the number of requests submitted in each second, by outcome."""
     counts = Counter((int(r.submitted_s), r.outcome) for r in records)
     seconds = range(int(duration_s))
     return {o: [counts[second, o] for second in seconds] for o in OUTCOMES}
@@ -48,8 +48,8 @@
     load = make_load(name, seed)
     figure, axes = pyplot.subplots(len(ROUTERS), 1, sharex=True, figsize=(8, 8))
     for axis, router in zip(axes, ROUTERS):
-        make = makers(Policy(), load.routers)[router]
-        world = World(load, make, seed, oracle=router == "oracle")
+        factory = router_factories(Policy(), load.routers)[router]
+        world = World(load, factory, seed, oracle=router == "oracle")
         series = outcomes_by_second(world.run(), load.duration_s)
         seconds = range(int(load.duration_s))
         axis.stackplot(seconds, *series.values(), labels=list(series))
@@ -62,7 +62,7 @@
 
 
 def main() -> int:
-    """Draw the named loads; return 1 where matplotlib is missing."""
+    """Draw the named loads; return 1 if matplotlib is not installed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=DEFAULT_SEED)
     parser.add_argument("--loads", default=",".join(LOADS))
@@ -73,9 +73,7 @@
         matplotlib.use("svg")
         pyplot = importlib.import_module("matplotlib.pyplot")
     except ImportError:
-        message = (
-            "matplotlib is missing; install the extra: pip install endivegw[plots]"
-        )
+        message = "matplotlib is not installed; run: pip install endivegw[plots]"
         print(message, file=sys.stderr)
         return 1
     folder = pathlib.Path(options.folder)
--- a/benchmarks/decisions_streams.py
+++ b/benchmarks/decisions_streams.py
@@ -1,4 +1,4 @@
-"""Who asks for what, and when: kinds of requests and streams of arrivals."""
+"""Kinds of requests and streams of their arrivals."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "ENGINE",
     "EXPLAIN",
     "KIOSK",
-    "Kind",
+    "RequestKind",
     "PLAN",
     "POLL",
     "SERVICE",
@@ -32,44 +32,48 @@
 ]
 
 
-#: Share of prompt tokens that the capacity formula takes as cached.
+#: Share of prompt tokens that the capacity formula assumes to be cached.
 NOMINAL_HIT_SHARE = 0.6
 
 
-#: Completions a second of a saturated fleet, as a multiple of the capacity
-#: formula: 1.22 to 1.25 with deadlines lifted, least outstanding placement.
+#: Completions per second of a saturated fleet, as a multiple of the capacity formula:
+#: 1.22 to 1.25 without deadlines and with placement by least outstanding requests.
 CALIBRATION = 1.25
 
 
 @frozen
-class Kind:
-    """Hold one kind of request.
+class RequestKind:
+    """A kind of request.
 
-    :param blocks: whole prompt blocks shared within (everyone, one account,
-        one scene of an account).
+    :param blocks: numbers of complete prompt blocks shared by (all accounts, one
+        account, one context of an account).
+    :param unique_tokens: prompt tokens that are not shared with other requests.
+    :param contexts: number of contexts per account.
     """
 
     name: str
     model: str
     priority: Priority
     blocks: tuple[int, int, int]
-    own_tokens: int
-    mean_output: int
-    max_output: int
+    unique_tokens: int
+    mean_output_tokens: int
+    max_output_tokens: int
     deadline_s: float
-    scenes: int = 8
+    contexts: int = 8
 
     def prompt_tokens(self) -> int:
         """Return the length of the prompt."""
-        return sum(self.blocks) * BLOCK_TOKENS + self.own_tokens
+        return sum(self.blocks) * BLOCK_TOKENS + self.unique_tokens
 
 
-KIOSK = Kind("kiosk", "badge", Priority.NORMAL, (1, 1, 1), 96, 60, 160, 6.0, 20)
+KIOSK = RequestKind("kiosk", "badge", Priority.NORMAL, (1, 1, 1), 96, 60, 160, 6.0, 20)
 URGENT_KIOSK = evolve(KIOSK, name="guard", priority=Priority.URGENT)
-EXPLAIN = Kind("explain", "plan", Priority.NORMAL, (1, 2, 1), 200, 120, 256, 15.0)
-PLAN = Kind("plan", "plan", Priority.NORMAL, (1, 7, 2), 300, 300, 600, 40.0)
-BATCH = Kind("report", "plan", Priority.BATCH, (1, 7, 2), 300, 500, 1000, 120.0)
-POLL = Kind("poll", "service:ramp", Priority.URGENT, (0, 0, 0), 0, 3, 4, 1.0)
+EXPLAIN = RequestKind(
+    "explain", "plan", Priority.NORMAL, (1, 2, 1), 200, 120, 256, 15.0
+)
+PLAN = RequestKind("plan", "plan", Priority.NORMAL, (1, 7, 2), 300, 300, 600, 40.0)
+BATCH = RequestKind("report", "plan", Priority.BATCH, (1, 7, 2), 300, 500, 1000, 120.0)
+POLL = RequestKind("poll", "service:ramp", Priority.URGENT, (0, 0, 0), 0, 3, 4, 1.0)
 
 ENGINE = EngineSpec()
 SERVICE = EngineSpec(
@@ -79,10 +83,11 @@
 
 @frozen
 class Arrival:
-    """Hold one request as the world knows it.
+    """A request with the data that only the simulation knows.
 
-    :param output_tokens: its true output.
-    :param mean_output: the mean of its kind.
+    :param router: number of the router that receives the request.
+    :param output_tokens: actual length of the output.
+    :param mean_output_tokens: mean output length of its kind.
     """
 
     at_s: float
@@ -90,26 +95,28 @@
     kind: str
     item: WorkItem
     output_tokens: int
-    mean_output: int
+    mean_output_tokens: int
 
 
-def slot_seconds(kind: Kind) -> float:
-    """Return how long a request of this kind holds a slot of a full engine."""
+def slot_seconds(kind: RequestKind) -> float:
+    """Return how long a request of this kind occupies a slot of a full engine."""
     cached = NOMINAL_HIT_SHARE * sum(kind.blocks) * BLOCK_TOKENS
-    read_s = (kind.prompt_tokens() - cached) / ENGINE.prefill_tokens_per_s
+    prefill_s = (kind.prompt_tokens() - cached) / ENGINE.prefill_tokens_per_s
     step_s = ENGINE.step_s(ENGINE.slots) * ENGINE.prefill_slowdown
-    return 2.0 * (ENGINE.overhead_s + read_s) + kind.mean_output * step_s
+    return 2.0 * (ENGINE.overhead_s + prefill_s) + kind.mean_output_tokens * step_s
 
 
 @frozen
 class Stream:
-    """Hold one account's requests of one kind.
+    """Requests of one account and kind.
 
-    :param rate: requests per second at a moment.
+    :param rate: requests per second as a function of time.
+    :param peak: upper bound of ``rate``.
+    :param weight: fair-share weight of the requests.
     """
 
     account: str
-    kind: Kind
+    kind: RequestKind
     rate: Callable[[float], float]
     peak: float
     weight: float = 1.0
@@ -119,27 +126,32 @@
     return hashlib.blake2b(repr(parts).encode(), digest_size=8).digest()
 
 
-def _prefix(kind: Kind, account: str, scene: int) -> tuple[bytes, ...]:
-    shared, own, scenic = kind.blocks
-    digests = [_digest(kind.model, kind.name, n) for n in range(shared)]
-    digests += [_digest(kind.model, kind.name, account, n) for n in range(own)]
+def _prefix(kind: RequestKind, account: str, context: int) -> tuple[bytes, ...]:
+    common_blocks, account_blocks, context_blocks = kind.blocks
+    digests = [_digest(kind.model, kind.name, n) for n in range(common_blocks)]
+    digests += [
+        _digest(kind.model, kind.name, account, n) for n in range(account_blocks)
+    ]
     digests += [
-        _digest(kind.model, kind.name, account, scene, n) for n in range(scenic)
+        _digest(kind.model, kind.name, account, context, n)
+        for n in range(context_blocks)
     ]
     return tuple(digests)
 
 
-def _output(kind: Kind, rng: random.Random) -> int:
+def _output(kind: RequestKind, rng: random.Random) -> int:
     spread = 0.5
-    drawn = rng.lognormvariate(math.log(kind.mean_output) - spread**2 / 2, spread)
-    return max(2, min(kind.max_output, round(drawn)))
+    value = rng.lognormvariate(
+        math.log(kind.mean_output_tokens) - spread**2 / 2, spread
+    )
+    return max(2, min(kind.max_output_tokens, round(value)))
 
 
 def arrivals(
     streams: list[Stream], duration_s: float, routers: int, rng: random.Random
 ) -> tuple[Arrival, ...]:
-    """Draw Poisson arrivals of all streams, thinned to their rates."""
-    found: list[Arrival] = []
+    """Generate Poisson arrivals of all streams by thinning from the peak rate."""
+    result: list[Arrival] = []
     for stream in streams:
         now_s = 0.0
         while True:
@@ -149,34 +161,41 @@
             if rng.random() * stream.peak > stream.rate(now_s):
                 continue
             kind = stream.kind
-            scene = min(int(rng.expovariate(4.0 / kind.scenes)), kind.scenes - 1)
+            context = min(int(rng.expovariate(4.0 / kind.contexts)), kind.contexts - 1)
             item = WorkItem(
-                request_id=f"r{len(found)}",
+                request_id=f"r{len(result)}",
                 client_account=ClientAccountName(stream.account),
                 priority=kind.priority,
                 weight=stream.weight,
                 model=kind.model,
                 deadline_s=now_s + kind.deadline_s,
                 prompt_tokens=kind.prompt_tokens(),
-                output_tokens=0 if kind is POLL else kind.max_output,
+                output_tokens=0 if kind is POLL else kind.max_output_tokens,
                 arrived_s=now_s,
-                prefix_digests=_prefix(kind, stream.account, scene),
+                prefix_digests=_prefix(kind, stream.account, context),
             )
-            output = _output(kind, rng)
+            output_tokens = _output(kind, rng)
             router = rng.randrange(routers)
-            found.append(
-                Arrival(now_s, router, kind.name, item, output, kind.mean_output)
+            result.append(
+                Arrival(
+                    now_s,
+                    router,
+                    kind.name,
+                    item,
+                    output_tokens,
+                    kind.mean_output_tokens,
+                )
             )
-    return tuple(sorted(found, key=lambda arrival: arrival.at_s))
+    return tuple(sorted(result, key=lambda arrival: arrival.at_s))
 
 
 def constant(rate: float) -> Callable[[float], float]:
-    """Return a rate that does not change."""
+    """Return a constant rate."""
     return lambda now_s: rate
 
 
 def scaled(scale: float, offered: Callable[[float], float]) -> Callable[[float], float]:
-    """Return a rate times a factor."""
+    """Return a rate multiplied by a factor."""
     return lambda now_s: scale * offered(now_s)
 
 
@@ -185,12 +204,20 @@
     offered: Callable[[float], float],
     peak: float,
     accounts: int = 10,
-    kinds: tuple[tuple[Kind, float], ...] = ((KIOSK, 0.6), (EXPLAIN, 0.3), (PLAN, 0.1)),
+    kinds: tuple[tuple[RequestKind, float], ...] = (
+        (KIOSK, 0.6),
+        (EXPLAIN, 0.3),
+        (PLAN, 0.1),
+    ),
     skew: float = 1.0,
 ) -> list[Stream]:
-    """Return streams that together offer a share of ``capacity_slots``.
+    """Return streams with a total load of ``offered`` times the capacity.
 
-    :param skew: the share of account n falls with (n + 1) ** -skew.
+    :param capacity_slots: number of slots of the fleet.
+    :param offered: load as a share of capacity, as a function of time.
+    :param peak: upper bound of ``offered``.
+    :param kinds: kinds of requests with their shares.
+    :param skew: the share of account n is proportional to (n + 1) ** -skew.
     """
     shares = [(n + 1) ** -skew for n in range(accounts)]
     total = sum(shares)
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,7 +1,7 @@
-"""Measure what the fleet adds to a request: direct to an engine, and through it.
+"""Measure the latency that the fleet adds to requests sent directly to an engine.
 
-Routers and sidecars run as processes of their own; the stand-in engines and the
-load share this process in both runs, so that their cost cancels out.
+Routers and sidecars run in separate processes. The stand-in engines and the load
+generator share this process in both runs, so that their cost cancels out.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 
 @define
 class Latencies:
-    """Hold what callers measured.
+    """Latencies of requests, as measured by the callers.
 
-    :ivar total_s: until the answer was whole.
-    :ivar first_s: until its first byte.
+    :ivar total_s: until the answer was complete.
+    :ivar first_s: until the first byte of the answer.
     """
 
     total_s: list[float] = field(factory=list)
@@ -45,14 +45,14 @@
 
 @define
 class ProcessCost:
-    """Hold a process's use of a run."""
+    """CPU time and resident memory of a process."""
 
     cpu_s: float
     resident_mb: float
 
 
 def main() -> None:
-    """Run the benchmark and print its table."""
+    """Run the benchmark and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--rates", type=float, nargs="+", default=[20.0, 50.0, 100.0])
@@ -61,8 +61,8 @@
     options = parser.parse_args()
     with tempfile.TemporaryDirectory() as folder:
         profile = pathlib.Path(folder) / "router.prof" if options.profile else None
-        # The product's own intervals: what the tests' shorter ones cost an idle
-        # router is not what it costs in use.
+        # Use the production intervals: the shorter ones of the tests would raise the
+        # cost of an idle router.
         with process_fleet(
             routers=1, router_profile=profile, hasty_recovery=False
         ) as fleet:
@@ -79,9 +79,9 @@
 
 def _print_idle(fleet: ProcessFleet) -> None:
     time.sleep(_WARM_UP_S)
-    before = _costs(fleet)
+    before = _process_costs(fleet)
     time.sleep(5.0)
-    after = _costs(fleet)
+    after = _process_costs(fleet)
     for name, cost in after.items():
         cpu_ms = (cost.cpu_s - before[name].cpu_s) / 5.0 * 1000
         print(
@@ -91,18 +91,18 @@
 
 def _compare(fleet: ProcessFleet, rate: float, seconds: float, seed: int) -> None:
     direct_url = fleet.engine_urls["engine-1"]
-    ways = {"direct": direct_url, "fleet": fleet.url(1)}
-    found: dict[str, Latencies] = {}
-    before = _costs(fleet)
-    for way, url in ways.items():
-        found[way] = anyio.run(_load, fleet, url, rate, seconds, seed)
-        _print_way(rate, way, found[way])
-    after = _costs(fleet)
-    added = _median(found["fleet"].total_s) - _median(found["direct"].total_s)
-    added_95 = percentile(found["fleet"].total_s, 0.95)
-    added_95 -= percentile(found["direct"].total_s, 0.95)
-    print(f"        added    {added * 1000:6.2f}  {added_95 * 1000:6.2f}")
-    requests = len(found["fleet"].total_s)
+    urls = {"direct": direct_url, "fleet": fleet.url(1)}
+    latencies: dict[str, Latencies] = {}
+    before = _process_costs(fleet)
+    for way, url in urls.items():
+        latencies[way] = anyio.run(_load, fleet, url, rate, seconds, seed)
+        _print_latencies(rate, way, latencies[way])
+    after = _process_costs(fleet)
+    added = _median(latencies["fleet"].total_s) - _median(latencies["direct"].total_s)
+    added_p95 = percentile(latencies["fleet"].total_s, 0.95)
+    added_p95 -= percentile(latencies["direct"].total_s, 0.95)
+    print(f"        added    {added * 1000:6.2f}  {added_p95 * 1000:6.2f}")
+    requests = len(latencies["fleet"].total_s)
     for name, cost in after.items():
         cpu_s = cost.cpu_s - before[name].cpu_s
         if name != "entry-1" or not cpu_s:
@@ -115,15 +115,15 @@
         )
 
 
-def _print_way(rate: float, way: str, found: Latencies) -> None:
+def _print_latencies(rate: float, way: str, latencies: Latencies) -> None:
     figures = (
-        percentile(found.total_s, 0.5),
-        percentile(found.total_s, 0.95),
-        percentile(found.first_s, 0.5),
-        percentile(found.first_s, 0.95),
+        percentile(latencies.total_s, 0.5),
+        percentile(latencies.total_s, 0.95),
+        percentile(latencies.first_s, 0.5),
+        percentile(latencies.first_s, 0.95),
     )
     cells = "  ".join(f"{value * 1000:6.2f}" for value in figures)
-    print(f"{rate:6.0f}  {way:7}  {cells}     {found.failed}")
+    print(f"{rate:6.0f}  {way:7}  {cells}     {latencies.failed}")
 
 
 def _median(values: list[float]) -> float:
@@ -134,16 +134,16 @@
     fleet: ProcessFleet, url: str, rate: float, seconds: float, seed: int
 ) -> Latencies:
     rng = random.Random(seed)
-    found = Latencies()
+    latencies = Latencies()
     async with httpcore.AsyncConnectionPool(max_connections=256) as pool:
         async with anyio.create_task_group() as tasks:
-            ends_s = time.monotonic() + seconds
+            end_s = time.monotonic() + seconds
             number = 0
-            while time.monotonic() < ends_s:
+            while time.monotonic() < end_s:
                 number += 1
-                tasks.start_soon(_request, pool, url, fleet, number, found)
+                tasks.start_soon(_request, pool, url, fleet, number, latencies)
                 await anyio.sleep(rng.expovariate(rate))
-    return found
+    return latencies
 
 
 async def _request(
@@ -151,7 +151,7 @@
     url: str,
     fleet: ProcessFleet,
     number: int,
-    found: Latencies,
+    latencies: Latencies,
 ) -> None:
     document = {
         "model": MODEL,
@@ -164,7 +164,7 @@
         ("content-type", "application/json"),
         ("x-request-id", f"bench-{time.monotonic_ns()}"),
     ]
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     first_s = None
     data = b""
     async with pool.stream(
@@ -174,23 +174,23 @@
         content=json.dumps(document).encode(),
     ) as response:
         async for chunk in response.aiter_stream():
-            first_s = first_s or time.perf_counter() - began_s
+            first_s = first_s or time.perf_counter() - started_s
             data += chunk
     if response.status != 200 or not data.endswith(b"data: [DONE]\n\n"):
-        found.failed += 1
+        latencies.failed += 1
         return
-    found.total_s.append(time.perf_counter() - began_s)
-    found.first_s.append(first_s or 0.0)
+    latencies.total_s.append(time.perf_counter() - started_s)
+    latencies.first_s.append(first_s or 0.0)
 
 
-def _costs(fleet: ProcessFleet) -> dict[str, ProcessCost]:
-    """Return the use of each process so far, from the kernel's accounts."""
+def _process_costs(fleet: ProcessFleet) -> dict[str, ProcessCost]:
+    """Return the usage of each router and sidecar process from ``/proc``."""
     processes = {f"entry-{n}": p for n, p in fleet.routers.items()}
     processes.update(fleet.sidecars)
-    return {name: _cost(process.pid) for name, process in processes.items()}
+    return {name: _process_cost(process.pid) for name, process in processes.items()}
 
 
-def _cost(pid: int) -> ProcessCost:
+def _process_cost(pid: int) -> ProcessCost:
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu_s = (int(fields[11]) + int(fields[12])) / _TICKS_PER_S
     pages = int(pathlib.Path(f"/proc/{pid}/statm").read_text().split()[1])
