--- a/benchmarks/requests.py
+++ b/benchmarks/requests.py
@@ -1,7 +1,7 @@
-"""Measure requests under faults: outcomes, claims, and an outage of the table.
+"""Measure outcomes of requests under faults, claims, and outages of the table.
 
-Everything but the table's size runs in virtual time with the product's own
-parts; see :mod:`endivegw_standins.request_world`.
+All parts except the cost of a slot owner run in virtual time with the production
+classes; see :mod:`endivegw_standins.request_world`.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 PROCESSES = 4
 
-#: Requests of one world, and how many worlds make the figure of one fault.
+#: Requests per simulation, and simulations per fault.
 WORLD_REQUESTS = 1000
 WORLDS = 10
 
@@ -53,7 +53,7 @@
 
 @frozen
 class FaultJob:
-    """Name one world to run."""
+    """Parameters of one simulation under a fault."""
 
     fault: str
     seed: int
@@ -61,39 +61,39 @@
 
 @frozen
 class OutageJob:
-    """Name one outage to run.
+    """Parameters of one simulated outage of the table.
 
-    :param grace_s: before claims are granted from memory.
-    :param deaths: machines that end for good while the table is away.
+    :param grace_s: time until claims are granted from memory.
+    :param terminated_vms: number of vms terminated while the table is unavailable.
     """
 
     grace_s: float
-    deaths: int
+    terminated_vms: int
     seed: int
 
 
 def run_fault(job: FaultJob) -> tuple[FaultJob, WorldReport]:
-    """Run one world under one fault."""
+    """Run one simulation under a fault."""
     logbook.NullHandler(level=0).push_application()
-    run = fault_scenario(job.fault, WORLD_REQUESTS, 10.0, 0.3)
-    return job, run_world(WorldLimits(), job.seed, run)
+    scenario = fault_scenario(job.fault, WORLD_REQUESTS, 10.0, 0.3)
+    return job, run_world(WorldLimits(), job.seed, scenario)
 
 
 def run_outage(job: OutageJob) -> tuple[OutageJob, Counter[str]]:
-    """Run an outage of an hour; count outcomes of single tries that fall in it."""
+    """Simulate an outage of one hour and count the outcomes of single attempts."""
     logbook.NullHandler(level=0).push_application()
     claims = ClaimLimits(grace_s=job.grace_s)
     limits = WorldLimits(targets=8, slots=8, tries=1, claims=claims)
-    report = run_world(limits, job.seed, lambda world: _outage(world, job))
+    report = run_world(limits, job.seed, lambda world: _simulate_outage(world, job))
     return job, report.first
 
 
-async def _outage(world: RequestWorld, job: OutageJob) -> None:
+async def _simulate_outage(world: RequestWorld, job: OutageJob) -> None:
     world.table_faults.unavailable = True
     rng = random.Random(job.seed)
     end_s = world.now_s() + OUTAGE_S
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_end_machines, world, job.deaths, rng)
+        tasks.start_soon(_terminate_vms, world, job.terminated_vms, rng)
         number = 0
         while world.now_s() < end_s:
             tasks.start_soon(_call_once, world, number)
@@ -105,14 +105,16 @@
     await world.call(number, repeatable=False)
 
 
-async def _end_machines(world: RequestWorld, deaths: int, rng: random.Random) -> None:
-    for host in rng.sample(list(world.hosts.values()), deaths):
-        await anyio.sleep(OUTAGE_S / (deaths + 1))
+async def _terminate_vms(
+    world: RequestWorld, terminated_vms: int, rng: random.Random
+) -> None:
+    for host in rng.sample(list(world.hosts.values()), terminated_vms):
+        await anyio.sleep(OUTAGE_S / (terminated_vms + 1))
         await world.replace_machine(host)
 
 
 def print_faults(seed: int) -> None:
-    """Print what callers were told, per 10,000 requests under each fault."""
+    """Print the outcomes seen by callers, per 10,000 requests for each fault."""
     jobs = [
         FaultJob(fault, seed + number) for fault in FAULTS for number in range(WORLDS)
     ]
@@ -126,11 +128,11 @@
     print(" unknown, first try | unknown in the end | not run in the end |", end="")
     print(" no word | router death to whole answer, p50 / p95 s |")
     print("|---|---|---|---|---|---|---|---|---|---|")
-    for fault, found in reports.items():
-        print(_fault_line(fault, found))
+    for fault, fault_reports in reports.items():
+        print(_format_fault_row(fault, fault_reports))
 
 
-def _fault_line(fault: str, reports: list[WorldReport]) -> str:
+def _format_fault_row(fault: str, reports: list[WorldReport]) -> str:
     first: Counter[str] = Counter()
     last: Counter[str] = Counter()
     retries_s: list[float] = []
@@ -162,7 +164,7 @@
 
 
 def print_outages(seed: int) -> None:
-    """Print the share that is not served while the table is away for an hour."""
+    """Print the share of requests not served during a table outage of one hour."""
     jobs = [
         OutageJob(10.0, 0, seed),
         OutageJob(45.0, 0, seed),
@@ -176,24 +178,24 @@
     with multiprocessing.Pool(PROCESSES) as pool:
         for job, first in pool.imap(run_outage, jobs):
             total = sum(first.values())
-            unserved = total - first[Outcome.ANSWERED.value]
-            share = 100.0 * unserved / total
-            head = f"| {job.grace_s:.0f} | {job.deaths} | {total} "
-            print(f"{head}| {unserved} | {share:.2f} % |")
+            not_served = total - first[Outcome.ANSWERED.value]
+            share = 100.0 * not_served / total
+            prefix = f"| {job.grace_s:.0f} | {job.terminated_vms} | {total} "
+            print(f"{prefix}| {not_served} | {share:.2f} % |")
 
 
 def print_claims(seed: int) -> None:
-    """Print what a claim adds to a request, and the rows that it costs."""
+    """Print the latency that claims add to requests, and the rows they write."""
     print("| claims/s, one slot | claims/s, 32 slots | p50 ms | p95 ms |", end="")
     print(" rows/s, one slot | rows/s, 32 slots |")
     print("|---|---|---|---|---|---|")
     for claims_per_s in (0.5, 4.0, 12.0, 122.0):
-        print(_claims_line(claims_per_s, seed))
+        print(_format_claims_row(claims_per_s, seed))
 
 
-def _claims_line(claims_per_s: float, seed: int) -> str:
+def _format_claims_row(claims_per_s: float, seed: int) -> str:
     async def main() -> tuple[list[float], int, float]:
-        return await _load_slot(claims_per_s, seed)
+        return await _measure_slot(claims_per_s, seed)
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         waits_s, writes, elapsed_s = runner.run(main())
@@ -207,7 +209,7 @@
     )
 
 
-async def _load_slot(
+async def _measure_slot(
     claims_per_s: float, seed: int, duration_s: float = 120.0
 ) -> tuple[list[float], int, float]:
     rng = random.Random(seed)
@@ -218,25 +220,25 @@
         table = FaultyTable(memory, TableFaults(latency_s=0.005), rng, tasks)
         slot = Slot(0, TargetName("t"), InstanceId("i"), "vm", "a", 1, False, 0)
         owner = SlotOwner(0, ClaimLimits(), last_heartbeat_s=clock())
-        kept = OwnedSlot(slot, owner, SlotHeartbeat(0, 0, 0), table, clock, clock)
-        tasks.start_soon(kept.maintain)
+        owned_slot = OwnedSlot(slot, owner, SlotHeartbeat(0, 0, 0), table, clock, clock)
+        tasks.start_soon(owned_slot.maintain)
         await anyio.sleep(1.0)
-        began_s, before = clock(), memory.writes
+        started_s, before = clock(), memory.writes
 
-        async def ask(number: int) -> None:
-            asked_s = clock()
-            answer = await kept.ask(ClaimProposal(_claim(number)), 5.0)
-            if not isinstance(answer, Granted):
-                raise SystemExit(f"a claim was not granted: {answer}")
-            waits_s.append(clock() - asked_s)
+        async def claim(number: int) -> None:
+            sent_s = clock()
+            response = await owned_slot.ask(ClaimProposal(_claim(number)), 5.0)
+            if not isinstance(response, Granted):
+                raise SystemExit(f"claim {number} was not granted: {response}")
+            waits_s.append(clock() - sent_s)
 
         async with anyio.create_task_group() as callers:
             number = 0
-            while clock() < began_s + duration_s:
-                callers.start_soon(ask, number)
+            while clock() < started_s + duration_s:
+                callers.start_soon(claim, number)
                 number += 1
                 await anyio.sleep(rng.expovariate(claims_per_s))
-        elapsed_s, writes = clock() - began_s, memory.writes - before
+        elapsed_s, writes = clock() - started_s, memory.writes - before
         tasks.cancel_scope.cancel()
     return waits_s, writes, elapsed_s
 
@@ -248,7 +250,7 @@
 
 
 def print_owner_cost() -> None:
-    """Print processor time and memory of an owner's claims, in real time."""
+    """Print the CPU time and memory that a slot owner needs per claim."""
     count = 20_000
     gc.collect()
     tracemalloc.start()
@@ -262,19 +264,19 @@
     samples_us: list[float] = []
     for _ in range(5):
         owner = SlotOwner(0, ClaimLimits(commit_interval_s=0.0), last_heartbeat_s=0.0)
-        began_s = time.process_time()
+        started_s = time.process_time()
         for number in range(count):
             owner.ask(ClaimProposal(_claim(number)), 0.0)
         while (commit := owner.next_commit(0.0)) is not None:
             owner.committed(commit)
-        samples_us.append(1e6 * (time.process_time() - began_s) / count)
+        samples_us.append(1e6 * (time.process_time() - started_s) / count)
     print(f"bytes of memory a claim: {size_bytes / count:.0f}")
     print(f"processor time a claim, decisions only: {min(samples_us):.1f} us")
     print(f"median of five: {statistics.median(samples_us):.1f} us")
 
 
 def main() -> None:
-    """Run the parts that are named, or all."""
+    """Run the parts named on the command line, by default all."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
--- a/deploy/launch.py
+++ b/deploy/launch.py
@@ -5,7 +5,8 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parent.parent / "src"))
 
-import endivegw.process_start  # noqa: E402, F401  first: it notes the time
+# Imported first because the module records the start time of the process.
+import endivegw.process_start  # noqa: E402, F401
 from endivegw.platform.command import platform_router  # noqa: E402
 
 if __name__ == "__main__":
--- a/tests/__main__.py
+++ b/tests/__main__.py
@@ -1,7 +1,7 @@
-"""Run every test module and print one closing line that tools can read.
+"""Run the test modules and print a machine-readable summary line.
 
-A test that KNOWN-RED.txt lists is run like the others. Where it fails, that is printed
-and does not fail the run; every other failure does.
+Tests listed in KNOWN-RED.txt run like all others. Their failures are printed but do
+not fail the run; any other failure does.
 """
 
 import pathlib
@@ -12,7 +12,7 @@
 
 
 def known_faults() -> list[str]:
-    """Return what is known to fail: ids of tests, and plays that run elsewhere."""
+    """Return the entries of KNOWN-RED.txt: test ids and runs outside this suite."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text().splitlines()
@@ -20,12 +20,12 @@
 
 
 def known_red() -> set[str]:
-    """Return the ids of the tests that are known to fail."""
+    """Return the ids of the tests in this suite that are known to fail."""
     return {name for name in known_faults() if name.startswith("tests.")}
 
 
 def main() -> int:
-    """Return 0 when each test passed that is not known to be red, else 1."""
+    """Run the tests; return 0 if all except the known failures passed, else 1."""
     patterns = sys.argv[1:]
     loader = unittest.TestLoader()
     if patterns:
@@ -35,7 +35,7 @@
     result = unittest.TextTestRunner(verbosity=1).run(suite)
     broken = [test for test, _ in result.failures + result.errors]
     broken += result.unexpectedSuccesses
-    # A test with several failing parts is one failed test.
+    # A test with several failing subtests counts as one failed test.
     failed = {getattr(test, "test_case", test).id() for test in broken}
     red = failed & known_red()
     for name in sorted(known_red()):
--- a/tests/test_allowances_fleets.py
+++ b/tests/test_allowances_fleets.py
@@ -5,7 +5,7 @@
 import unittest
 
 import anyio
-from benchmarks.allowance_fleets import Figures, play_start
+from benchmarks.allowance_fleets import Figures, run_startup
 
 from endivegw_standins.virtual_time import VirtualLoop
 
@@ -22,7 +22,7 @@
     """Return the figures of a fleet's first ten seconds under load."""
     figures = Figures()
     virtual = {"loop_factory": VirtualLoop}
-    anyio.run(play_start, routers, 0, figures, backend_options=virtual)
+    anyio.run(run_startup, routers, 0, figures, backend_options=virtual)
     return figures
 
 
@@ -40,7 +40,9 @@
         figures = run_start(LARGE)
         for span in ("start", "usual"):
             with self.subTest(span=span):
-                self.assertLessEqual(figures.false_share(span), MAX_FALSE_REFUSAL_SHARE)
+                self.assertLessEqual(
+                    figures.false_refusal_share(span), MAX_FALSE_REFUSAL_SHARE
+                )
 
     def test_what_a_router_sends_does_not_grow_with_the_fleet(self) -> None:
         """Seven times as many routers serve seven times as many callers.
--- a/tests/test_budgets_faults.py
+++ b/tests/test_budgets_faults.py
@@ -4,7 +4,7 @@
 import unittest
 
 import anyio
-from benchmarks.budget_fleet import Fleet, Work
+from benchmarks.budget_fleet import Fleet, RequestSpec
 
 from endivegw.budgets import read_budgets, top_up
 from endivegw.budgets.reconcile import read_bill, reconcile
@@ -19,7 +19,7 @@
 def work(number, budget=BUDGET, bound_tokens=300, used_tokens=120, reserve_s=60.0):
     """Return a small request."""
     completion_tokens = used_tokens - 40
-    return Work(
+    return RequestSpec(
         f"k{number}",
         budget,
         bound_tokens,
--- a/tests/test_budgets_machine.py
+++ b/tests/test_budgets_machine.py
@@ -6,7 +6,7 @@
 import unittest
 
 import anyio
-from benchmarks.budget_fleet import Fleet, Work
+from benchmarks.budget_fleet import Fleet, RequestSpec
 from hypothesis import HealthCheck, seed, settings, strategies as st
 from hypothesis.stateful import (
     RuleBasedStateMachine,
@@ -143,7 +143,7 @@
             target = self._router(router)
             for _ in range(count):
                 self.sent += 1
-                work = Work(
+                work = RequestSpec(
                     f"k{self.sent}", budget, tokens + excess_tokens, 20, tokens - 20
                 )
                 self.fleet.tasks.start_soon(self._one, target, work)
@@ -236,8 +236,10 @@
         """Disconnect a router from a sidecar, or reconnect them."""
 
         async def command():
-            cut_from = self._router(router).cut_from
-            cut_from.symmetric_difference_update({self._sidecar(sidecar).target})
+            unreachable_targets = self._router(router).unreachable_targets
+            unreachable_targets.symmetric_difference_update(
+                {self._sidecar(sidecar).target}
+            )
 
         self._do(command)
 
@@ -349,7 +351,7 @@
         _set_fault(fleet.operator_faults, "heal")
         for router in fleet.routers:
             _set_fault(router.faults, "heal")
-            router.cut_from.clear()
+            router.unreachable_targets.clear()
             router.resume()
         for sidecar in fleet.all_sidecars:
             _set_fault(sidecar.faults, "heal")
--- a/tests/test_capacity_fit.py
+++ b/tests/test_capacity_fit.py
@@ -1,4 +1,4 @@
-"""The lines that docs/CAPACITY.md is worked out from."""
+"""Least-squares fits from which the figures of docs/CAPACITY.md are computed."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 
 
 class FitTests(unittest.TestCase):
-    def test_line_is_found_and_its_fit_told(self):
-        """Points on a line give it back; points off it lower the fit."""
+    def test_line_fit_recovers_coefficients_and_r2(self):
+        """Collinear points give the exact line; scattered points lower ``r2``."""
         exact = fit_line([Point(x, 3 + 2 * x) for x in (1, 4, 9)])
         self.assertAlmostEqual(exact.slope, 2)
         self.assertAlmostEqual(exact.base, 3)
@@ -15,13 +15,13 @@
         noisy = fit_line([Point(1, 0), Point(2, 9), Point(3, 1)])
         self.assertLess(noisy.r2, 0.2)
 
-    def test_two_sizes_are_no_line(self):
-        """A slope from two points would hide that it is none."""
+    def test_line_fit_requires_three_points(self):
+        """A line through two points always fits exactly, so ``r2`` says nothing."""
         with self.assertRaises(ValueError):
             fit_line([Point(1, 1), Point(2, 2)])
 
-    def test_plane_parts_two_causes(self):
-        """Costs of requests and of tokens are told apart."""
+    def test_plane_fit_separates_two_variables(self):
+        """The costs per request and per token are separate coefficients."""
         rows = [
             (r, t, 0.5 + 2 * r + 0.25 * t) for r, t in ((1, 5), (2, 3), (4, 4), (6, 9))
         ]
--- a/tests/test_decisions_loads.py
+++ b/tests/test_decisions_loads.py
@@ -3,7 +3,7 @@
 import unittest
 from functools import cache
 
-from benchmarks.decisions import makers
+from benchmarks.decisions import router_factories
 from benchmarks.decisions_loads import make_load
 from benchmarks.decisions_outcomes import summarise
 from benchmarks.decisions_world import Outcome, World
@@ -18,7 +18,7 @@
 def world(name, router):
     """Return a simulation after its run."""
     load = make_load(name, SEED)
-    simulation = World(load, makers(Policy(), load.routers)[router], SEED)
+    simulation = World(load, router_factories(Policy(), load.routers)[router], SEED)
     simulation.run()
     return simulation
 
@@ -151,7 +151,7 @@
             new = [
                 record.outcome
                 for record in world("retry-storm", router).records
-                if not record.comebacks and 26.0 <= record.submitted_s < 45.0
+                if not record.retry_number and 26.0 <= record.submitted_s < 45.0
             ]
             shares[router] = new.count(Outcome.GOOD) / len(new)
         self.assertGreater(shares["endivegw"], 0.75)
@@ -161,7 +161,7 @@
     def test_runs_repeat_exactly(self):
         """The same seed gives the same outcome for every request."""
         load = make_load("lobby-opening", SEED)
-        make = makers(Policy(), load.routers)["endivegw"]
+        make = router_factories(Policy(), load.routers)["endivegw"]
         first, second = World(load, make, SEED), World(load, make, SEED)
         first.run()
         second.run()
--- a/tools/event_catalogue.py
+++ b/tools/event_catalogue.py
@@ -1,4 +1,4 @@
-"""Write docs/EVENTS.md from the catalogue of log events."""
+"""Generate docs/EVENTS.md from the catalogue of log events."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def page_text() -> str:
-    """Return the page."""
+    """Return the Markdown text of docs/EVENTS.md."""
     lines = [
         f"| {event.number} | `{event.name}` | {event.level.value} | {event.meaning} | "
         + ", ".join(f"`{name}`" for name in event.fields)
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Write the page."""
+    """Write docs/EVENTS.md and return the exit code."""
     PAGE.write_text(page_text())
     return 0
 
--- a/tools/import_rules.py
+++ b/tools/import_rules.py
@@ -1,7 +1,7 @@
-"""Check which parts of the package may import which others.
+"""Check that modules of the package import only what their layer allows.
 
-The pure parts (decisions, budgets, requests, ...) must run in a test without
-sockets; an import of a socket library there would end that.
+Pure modules (decisions, budgets, requests, ...) must be testable without sockets,
+so they must not import networking libraries or packages that do I/O.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 ROOT = pathlib.Path("src/endivegw")
 
-#: Packages whose modules decide, and must not reach the network, files or clocks.
+#: Packages of pure logic, which must not access the network, files or clocks.
 PURE_PACKAGES = ("decisions", "requests", "routing")
 
-#: Modules that decide inside packages that also do I/O, as paths below the root.
+#: Pure modules inside packages that also do I/O, as paths relative to ROOT.
 PURE_MODULES: tuple[str, ...] = (
     "membership/conclusions.py",
     "membership/peer.py",
@@ -80,7 +80,7 @@
     "services/rate_cap.py",
 )
 
-#: What a pure module must not import.
+#: Modules that a pure module must not import.
 IO_MODULES = frozenset(
     {
         "anyio",
@@ -100,7 +100,7 @@
     }
 )
 
-#: Parts of the package that do I/O.
+#: Packages that do I/O, which a pure module must not import either.
 IO_PARTS = frozenset(
     {
         "endivegw.cli",
@@ -114,8 +114,8 @@
 )
 
 
-#: Names of the users' platform that only its adapter may contain: header fields,
-#: fields of rows and calls. Found anywhere else they would tie the product to it.
+#: Header fields and field names of rows and calls of the deployment platform. Only the
+#: platform adapter may contain them, so that the other packages do not depend on it.
 PLATFORM_NAMES = (
     "endivegw-attempt-id",
     "endivegw-deadline-ms",
@@ -146,18 +146,18 @@
     "ColdRemainingMs",
 )
 
-#: The adapter's folder.
+#: Folder of the platform adapter, relative to ROOT.
 ADAPTER = "platform/"
 
 
 def platform_names_in(path: pathlib.Path) -> list[str]:
-    """Return the platform's names that a module contains as text."""
+    """Return the platform names that occur in the text of a module."""
     text = path.read_text()
     return [name for name in PLATFORM_NAMES if name in text]
 
 
 def imported_names(path: pathlib.Path) -> set[str]:
-    """Return the dotted names of all modules that a file imports."""
+    """Return the dotted names of the modules that a file imports."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -168,33 +168,33 @@
 
 
 def starts_with_any(name: str, prefixes: frozenset[str]) -> bool:
-    """Return whether a dotted name is one of the prefixes or lies below one."""
+    """Return whether a dotted name is one of the prefixes or a submodule of one."""
     return any(name == prefix or name.startswith(prefix + ".") for prefix in prefixes)
 
 
 def violations() -> list[str]:
-    """Return one line for each import that breaks a rule."""
-    found: list[str] = []
+    """Return one line for each import or platform name that breaks a rule."""
+    messages: list[str] = []
     for path in sorted(ROOT.rglob("*.py")):
         relative = path.relative_to(ROOT).as_posix()
         if not relative.startswith(ADAPTER):
             for name in platform_names_in(path):
-                found.append(f"{relative}: contains the platform's name {name!r}")
+                messages.append(f"{relative}: contains the platform name {name!r}")
         names = imported_names(path)
         pure = relative.startswith(tuple(p + "/" for p in PURE_PACKAGES))
         if pure or relative in PURE_MODULES:
             for name in sorted(names):
                 if starts_with_any(name, IO_MODULES | IO_PARTS):
-                    found.append(f"{relative}: pure code imports {name}")
+                    messages.append(f"{relative}: pure code imports {name}")
         for name in sorted(names):
             standin = name.startswith("endivegw_standins")
             if standin and not relative.startswith("dev/"):
-                found.append(f"{relative}: the product imports stand-ins")
-    return found
+                messages.append(f"{relative}: product code imports {name}")
+    return messages
 
 
 def main() -> int:
-    """Print the violations; return 1 when there are any."""
+    """Print the violations and return 1 if there are any, else 0."""
     lines = violations()
     for line in lines:
         print(line)
--- a/tools/protos.py
+++ b/tools/protos.py
@@ -1,7 +1,7 @@
-"""Generate the peers' messages and stubs from the .proto file.
+"""Generate the messages and stubs of the peer protocol from its .proto file.
 
-The generated code is committed; this tool and its generator are needed only
-when the messages change: ``pip install grpcio-tools`` first.
+The generated code is committed, so this tool is needed only when the .proto file
+changes. It requires grpcio-tools: ``pip install grpcio-tools``.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def main() -> int:
-    """Write both generated modules; return the generator's exit code."""
+    """Write the generated modules and return the exit code of protoc."""
     from grpc_tools import protoc
 
     code: int = protoc.main(
@@ -28,6 +28,7 @@
             f"{NAME}.proto",
         ]
     )
+    # protoc imports the messages as a top-level module; make the import absolute.
     stubs = OUTPUT / f"{NAME}_grpc.py"
     text = stubs.read_text()
     text = text.replace(
