--- a/benchmarks/capacity/small_fleet.py
+++ b/benchmarks/capacity/small_fleet.py
@@ -30,7 +30,7 @@
 from endivegw.settings import PeerSettings
 from endivegw.telemetry import json_line_handler
 from endivegw.types import TargetName
-from endivegw_standins.engine_app import EngineApp, EngineKnobs, FakeEngine
+from endivegw_standins.engine_app import EngineApp, EngineOptions, FakeEngine
 from endivegw_standins.platform_app import StandinPlatform
 from endivegw_standins.ports import reserve_port
 from endivegw_standins.serving import serve_in
@@ -169,8 +169,8 @@
 
 def _run_engine(pipe: Connection, decode_tokens_per_s: float) -> None:
     async def main() -> None:
-        knobs = EngineKnobs(slots=_SLOTS, decode_tokens_per_s=decode_tokens_per_s)
-        engine = FakeEngine(models={MODEL}, knobs=knobs)
+        options = EngineOptions(slots=_SLOTS, decode_tokens_per_s=decode_tokens_per_s)
+        engine = FakeEngine(models={MODEL}, options=options)
         async with anyio.create_task_group() as tasks:
             pipe.send(await serve_in(tasks, EngineApp(engine), lifespan=True))
 
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -64,7 +64,7 @@
         # Use the production intervals: the shorter ones of the tests would raise the
         # cost of an idle router.
         with process_fleet(
-            routers=1, router_profile=profile, hasty_recovery=False
+            routers=1, router_profile=profile, fast_recovery=False
         ) as fleet:
             _print_idle(fleet)
             print("rate/s  way      p50 ms  p95 ms  first p50  first p95  failed")
--- a/src/endivegw/composition/__init__.py
+++ b/src/endivegw/composition/__init__.py
@@ -1,8 +1,8 @@
-"""The composition root: the one place where the parts are wired together.
+"""The composition root, which wires the parts of each daemon together.
 
-The names are loaded when they are first asked for: each program needs one of
-them, and a restarted router serves callers sooner without the libraries of the
-others.
+Submodules are imported lazily, on first access of a name. Each program needs only
+one of them, and a restarted router serves callers sooner if it does not import the
+libraries of the others.
 """
 
 from __future__ import annotations
--- a/src/endivegw/composition/direct_router.py
+++ b/src/endivegw/composition/direct_router.py
@@ -1,4 +1,4 @@
-"""Wire a router that calls targets itself."""
+"""Wire a router that calls targets directly, without sidecars."""
 
 from __future__ import annotations
 
@@ -43,18 +43,20 @@
 
 __all__ = ["build_direct_router"]
 
-#: What is left of the time for an orderly stop when the router ends by itself.
+#: Part of the grace period that remains unused when the router exits by itself.
 _STOP_MARGIN_S = 0.6
 
-#: For the write that removes the address of a router that is gone.
-_REMOVE_S = 1.0
+#: Timeout of the write that removes the address of a terminated router.
+_REMOVE_TIMEOUT_S = 1.0
 
-#: Fleets of this size are compared in full for each placement; the others' load
-#: is known from what they say of themselves, not from lagged reports.
-_CHOICES = 32
+#: Maximum number of targets that are compared for each placement. All targets of a
+#: fleet up to this size can be compared, because the load that other routers cause
+#: is known from their own heartbeats rather than from delayed target reports.
+_MAX_COMPARED_TARGETS = 32
 
-#: Statements of peers are never frozen: they come from routers that live.
-_NEVER_FROZEN = 1_000_000_000
+#: Number of equal reports in a row after which reports would be ignored as frozen.
+#: Loads come from the heartbeats of live routers here, which are never frozen.
+_FROZEN_REPORTS_NEVER = 1_000_000_000
 
 
 def build_direct_router(
@@ -64,11 +66,11 @@
     decoder: RowDecoder,
     started_s: float | None = None,
 ) -> DirectRouter:
-    """Return a router; the adapter of the deployment is passed in.
+    """Build a router around the adapter of the deployment.
 
-    :param store: the deployment's store.
-    :param wire: the deployment's header fields.
-    :param decoder: the deployment's rows.
+    :param store: client of the deployment's row store.
+    :param wire: codec of the deployment's header fields.
+    :param decoder: decoder of the deployment's configuration and target rows.
     :param started_s: when the process started, on :func:`steady_clock`; None for now.
     """
     clock = steady_clock
@@ -82,13 +84,15 @@
     entry = PeerEntry(settings.vm, instance_id, ip, port, zone)
     peers = PeerTable(settings.vm, zone)
     mechanisms = settings.mechanisms
-    policy = _policy(mechanisms)
+    policy = _placement_policy(mechanisms)
     dispatcher = Dispatcher(policy, zone, rng)
     link = PeerLink(
         entry,
         peers,
-        lend=lambda account, least, wanted: (
-            allowances.lend(account, least, wanted if mechanisms.loans else 0)
+        lend=lambda account, min_tokens, wanted_tokens: (
+            allowances.lend(
+                account, min_tokens, wanted_tokens if mechanisms.loans else 0
+            )
         ),
         surplus=lambda: allowances.surplus_tokens(),
         load=dispatcher.local_load,
@@ -107,7 +111,7 @@
         named_witnesses=lambda: allowances.ledger.witnesses.named(),
         clock=clock,
         log=log,
-        on_broadcast=lambda told: on_broadcast(told),
+        on_broadcast=lambda message: on_broadcast(message),
         rng=rng,
         max_witnesses=MAX_WITNESSES if mechanisms.witnesses else 0,
     )
@@ -120,7 +124,9 @@
         log,
         _allowance_options(settings),
         started_s=started_s,
-        on_removed=lambda vm: peer_reader.remove(store, vm, timeout_s=_REMOVE_S),
+        on_removed=lambda vm: peer_reader.remove(
+            store, vm, timeout_s=_REMOVE_TIMEOUT_S
+        ),
     )
     quarantine = QuarantineManager(store, link.broadcast, rng, clock, log)
     pool = TargetPool(clock)
@@ -149,12 +155,12 @@
 
     context.on_leaving = on_leaving
 
-    def on_broadcast(told: Evidence | TargetLeaving) -> None:
-        match told:
+    def on_broadcast(message: Evidence | TargetLeaving) -> None:
+        match message:
             case TargetLeaving(start):
                 on_leaving(start, "peer")
             case _:
-                quarantine.receive(told)
+                quarantine.receive(message)
 
     def on_configuration() -> None:
         if context.table is not None:
@@ -186,12 +192,12 @@
         clock=clock,
         log=log,
     )
-    within_s = max(1.0, settings.stop_within_s - _STOP_MARGIN_S)
-    return DirectRouter(parts, DirectRouterOptions(stop_within_s=within_s))
+    stop_timeout_s = max(1.0, settings.stop_within_s - _STOP_MARGIN_S)
+    return DirectRouter(parts, DirectRouterOptions(stop_within_s=stop_timeout_s))
 
 
 def _add_gauges(metrics: RouterMetrics, context: RelayContext) -> None:
-    """Show what the router holds and believes when the page is asked for."""
+    """Register gauges that are evaluated when the metrics page is requested."""
     ledger = context.allowances.ledger
 
     def hand_tokens() -> int:
@@ -224,10 +230,10 @@
 
 
 def steady_clock() -> float:
-    """Return seconds on a clock that goes on while the machine is suspended.
+    """Return seconds on a monotonic clock that includes time in suspend.
 
-    On a clock that stands still meanwhile, a process that wakes up would take
-    deadlines and counts of its budgets for as fresh as before.
+    On a clock that stops during suspend, a resumed process would consider its
+    deadlines and budget balances as fresh as before.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -241,19 +247,19 @@
     return options
 
 
-def _policy(mechanisms: Mechanisms) -> Policy:
-    """Return the decisions' limits for targets that are called directly.
+def _placement_policy(mechanisms: Mechanisms) -> Policy:
+    """Return the placement policy for targets that are called directly.
 
-    The priors are those of the engines that are usual there; measured speeds
-    take their place within the first dozens of answers.
+    The priors match the engines that are usual on this platform; measured speeds
+    replace them within the first dozens of answers.
     """
-    usual = Policy()
+    defaults = Policy()
     return Policy(
-        choices=_CHOICES,
+        choices=_MAX_COMPARED_TARGETS,
         affinity=mechanisms.affinity,
         copies=mechanisms.copies,
-        max_shed_share=usual.max_shed_share if mechanisms.ejection else 0.0,
-        frozen_reports=_NEVER_FROZEN,
+        max_shed_share=defaults.max_shed_share if mechanisms.ejection else 0.0,
+        frozen_reports=_FROZEN_REPORTS_NEVER,
         zone_penalty_s=0.004,
         pause_cost_s=0.6 if mechanisms.pauses else 0.0,
         prefix_ttl_s=30.0,
--- a/src/endivegw/composition/platform.py
+++ b/src/endivegw/composition/platform.py
@@ -1,4 +1,4 @@
-"""Open the platform's services that the settings name."""
+"""Open clients of the platform services that the settings name."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @frozen
 class Platform:
-    """Hold the platform's services that a daemon uses."""
+    """Clients of the platform services that a daemon uses."""
 
     table: TablePort
     objects: ObjectStorePort
@@ -47,9 +47,9 @@
     clock: Callable[[], float],
     rng: random.Random,
 ) -> Platform:
-    """Return the adapters, each behind its guard.
+    """Return the service clients, each behind its retry and overload guard.
 
-    :param client_name: shown to the services with each call.
+    :param client_name: sent to the services with each call.
     """
     credentials = _credentials(settings)
     table = DynamoTable(
--- a/src/endivegw/composition/process.py
+++ b/src/endivegw/composition/process.py
@@ -1,4 +1,4 @@
-"""What every daemon has: identity, clock, configuration, peers, metrics."""
+"""Wire what every daemon has: identity, clock, configuration, peers, metrics."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 from endivegw.telemetry import EventLog, Metrics, NoMetrics, statsd_metrics
 from endivegw.types import InstanceId
 
-__all__ = ["Process", "metrics_of", "open_process", "peer_security"]
+__all__ = ["Process", "create_metrics", "open_process", "peer_security"]
 
 
 @frozen
 class Process:
-    """Hold what the parts of one daemon share.
+    """Objects that the parts of one daemon share.
 
     :param header: returns the header of each message that this process sends.
-    :param on_header: takes the header of each message that it receives.
+    :param on_header: processes the header of each message that it receives.
     """
 
     identity: ProcessIdentity
@@ -69,10 +69,11 @@
     reports: bool,
     grant_holder: Callable[[], str] = str,
 ) -> Process:
-    """Wire what every daemon has.
+    """Create the objects that every daemon has.
 
-    :param reports: whether it writes down which revisions it and its peers have.
-    :param grant_holder: returns the name under which it draws grants.
+    :param reports: whether the daemon stores which configuration revisions it and its
+        peers have applied.
+    :param grant_holder: returns the holder name under which the daemon draws grants.
     """
     clock = _steady_unix_clock()
     rng = random.Random()
@@ -97,8 +98,9 @@
         host, _, port = address.rpartition(":")
         return connect_sidecar(host.strip("[]"), int(port))
 
-    # The book calls peers with this process's header, which carries the revision
-    # of the configuration, which in turn is fetched through the book.
+    # Circular dependency: the directory calls peers with this process's header, which
+    # carries the configuration revision, and configuration is fetched from peers
+    # through the directory. The lambda defers the lookup of header.
     peer_directory = PeerDirectory(
         connect_router, connect_sidecar, lambda: header(), clock
     )
@@ -125,10 +127,10 @@
             name=sender.vm,
         )
 
-    def on_vms_listed(vms: tuple[ListedVm, ...], now_s: float) -> None:
+    def on_vm_list(vms: tuple[ListedVm, ...], now_s: float) -> None:
         configuration.view.update_fleet_size(others_by_zone(vms, process.vm))
 
-    platform.vms.on_vms_listed(on_vms_listed)
+    platform.vms.on_vms_listed(on_vm_list)
     return Process(
         identity=identity,
         platform=platform,
@@ -147,7 +149,7 @@
 
 
 def peer_security(settings: PeerSettings) -> PeerSecurity:
-    """Return how calls between processes are authenticated."""
+    """Return the authentication scheme of calls between processes."""
     if settings.tls_ca and settings.tls_certificate and settings.tls_key:
         return tls_peers(settings.tls_ca, settings.tls_certificate, settings.tls_key)
     if settings.shared_key_file:
@@ -155,23 +157,23 @@
     return PlainPeers()
 
 
-def metrics_of(logs: LogSettings, prefix: str) -> Metrics:
-    """Return the metrics client that the settings name, or none."""
+def create_metrics(logs: LogSettings, prefix: str) -> Metrics:
+    """Return the configured metrics client, or a no-op client without one."""
     if logs.statsd is None:
         return NoMetrics()
     return statsd_metrics(logs.statsd.ip, logs.statsd.port, prefix)
 
 
 def _steady_unix_clock() -> Callable[[], float]:
-    """Return a clock near Unix time that never goes back.
+    """Return a monotonic clock that starts at Unix time.
 
-    The system's own clock may be set back while the process runs; a deadline
-    or a lease measured on it would then last too long.
+    The system clock may be set back while the process runs, and a deadline or lease
+    measured on it would then last too long.
     """
     offset_s = time.time() - time.monotonic()
     return lambda: offset_s + time.monotonic()
 
 
 def _new_instance_id(process: ProcessSettings) -> InstanceId:
-    """Return a name for this start of this process, never used again."""
+    """Return a name for this start of the process that is never reused."""
     return InstanceId(f"{process.vm}-{uuid.uuid4().hex[:12]}")
--- a/src/endivegw/composition/router.py
+++ b/src/endivegw/composition/router.py
@@ -4,7 +4,7 @@
 
 from endivegw.budgets import BudgetManager
 from endivegw.budgets.recovery import Recovery
-from endivegw.composition.process import Process, metrics_of, open_process
+from endivegw.composition.process import Process, create_metrics, open_process
 from endivegw.configuration import Snapshot
 from endivegw.daemons.claim_client import ClaimClient
 from endivegw.daemons.lent_grants import StrandedGrantRecovery
@@ -40,7 +40,7 @@
         settings.platform,
         lambda name: EventLog("router", instance=name),
         reports=True,
-        # The keeper is made below, out of what this call returns.
+        # The budget manager is created below, from the result of this call.
         grant_holder=lambda: budget_manager.announced_holder,
     )
     dispatcher = Dispatcher(
@@ -57,7 +57,7 @@
         TokenTransfers(process.peer_directory, process.header),
         process.log,
     )
-    watch = _target_watch(settings, process, queue)
+    watch = _create_target_watch(settings, process, queue)
     broadcaster = EvidenceBroadcaster(
         process.identity.instance_id,
         process.peer_directory,
@@ -84,7 +84,7 @@
         clock=process.clock,
         rng=process.rng,
         log=process.log,
-        metrics=metrics_of(settings.logs, "endivegw.router"),
+        metrics=create_metrics(settings.logs, "endivegw.router"),
     )
     seals = SealClient(
         process.platform.vms,
@@ -101,8 +101,8 @@
         budget_manager=budget_manager,
         queue=queue,
         watch=watch,
-        routers=_router_watch(settings, process),
-        recovery=_recovery_watch(settings, process, recovery, seals),
+        routers=_create_router_watch(settings, process),
+        recovery=_create_recovery_watch(settings, process, recovery, seals),
         stranded_grants=StrandedGrantRecovery(
             budget_manager, recovery, seals, process.clock
         ),
@@ -119,7 +119,7 @@
     return Router(parts)
 
 
-def _target_watch(
+def _create_target_watch(
     settings: RouterSettings, process: Process, queue: PlacementQueue
 ) -> TargetWatch:
     def connect(address: str) -> SidecarClient:
@@ -151,7 +151,7 @@
 
 
 def wanted_models(snapshot: Snapshot) -> set[str]:
-    """Return what callers may ask for, in the form that targets tell it."""
+    """Return the models and services that callers may use, as targets report them."""
     wanted: set[str] = set()
     for account in snapshot.accounts.values():
         wanted.update(account.models)
@@ -159,7 +159,9 @@
     return wanted
 
 
-def _router_watch(settings: RouterSettings, process: Process) -> RouterHeartbeats:
+def _create_router_watch(
+    settings: RouterSettings, process: Process
+) -> RouterHeartbeats:
     return RouterHeartbeats(
         settings.process.vm,
         settings.process.availability_zone,
@@ -172,7 +174,7 @@
     )
 
 
-def _recovery_watch(
+def _create_recovery_watch(
     settings: RouterSettings, process: Process, recovery: Recovery, seals: SealClient
 ) -> RecoveryWatch:
     return RecoveryWatch(
--- a/src/endivegw/composition/sidecar.py
+++ b/src/endivegw/composition/sidecar.py
@@ -6,7 +6,7 @@
 import time
 
 from endivegw.budgets.gate import GrantGate
-from endivegw.composition.process import Process, metrics_of, open_process
+from endivegw.composition.process import Process, create_metrics, open_process
 from endivegw.configuration import TargetKind
 from endivegw.daemons.claim_desk import SlotClaimService, SlotClaimSettings
 from endivegw.daemons.peer_directory import TARGET_ROLE
@@ -39,7 +39,7 @@
         reports=False,
     )
     instance_id = process.identity.instance_id
-    adapter = _open_adapter(settings.target)
+    adapter = _create_adapter(settings.target)
     grants = GrantGate(
         instance_id,
         settings.target.target,
@@ -48,18 +48,18 @@
         process.rng,
         process.log,
     )
-    desk = _slot_desk(settings, process)
-    options = _options(settings, process)
+    claim_service = _create_claim_service(settings, process)
+    options = _sidecar_options(settings, process)
     sidecar = Sidecar(
-        _target_of(adapter),
+        _wrap_adapter(adapter),
         grants.ledger,
         StartRegistry(instance_id, options.starts, process.clock()),
         SidecarConfiguration(process.configuration, process.on_header),
         process.clock,
         process.log,
-        metrics_of(settings.logs, "endivegw.sidecar"),
+        create_metrics(settings.logs, "endivegw.sidecar"),
         options,
-        claims=desk,
+        claims=claim_service,
         holders=grants,
     )
     parts = SidecarProcessParts(
@@ -68,17 +68,17 @@
         configuration=process.configuration,
         sidecar=sidecar,
         grants=grants,
-        desk=desk,
+        desk=claim_service,
         target=adapter,
         security=process.security,
-        orders=_open_orders(settings, process, adapter),
+        orders=_create_order_manager(settings, process, adapter),
         peer_directory=process.peer_directory,
         log=process.log,
     )
     return SidecarProcess(parts)
 
 
-def _options(settings: SidecarSettings, process: Process) -> SidecarOptions:
+def _sidecar_options(settings: SidecarSettings, process: Process) -> SidecarOptions:
     return SidecarOptions(
         target=settings.target.target,
         instance_id=process.identity.instance_id,
@@ -91,8 +91,10 @@
     )
 
 
-def _slot_desk(settings: SidecarSettings, process: Process) -> SlotClaimService:
-    desk = SlotClaimSettings(
+def _create_claim_service(
+    settings: SidecarSettings, process: Process
+) -> SlotClaimService:
+    service_settings = SlotClaimSettings(
         vm=settings.process.vm,
         target=settings.target.target,
         instance_id=process.identity.instance_id,
@@ -100,11 +102,16 @@
     )
     platform = process.platform
     return SlotClaimService(
-        desk, platform.table, platform.vms, process.clock, time.time, process.log
+        service_settings,
+        platform.table,
+        platform.vms,
+        process.clock,
+        time.time,
+        process.log,
     )
 
 
-def _open_adapter(settings: TargetSettings) -> Adapter:
+def _create_adapter(settings: TargetSettings) -> Adapter:
     match settings.kind:
         case TargetKind.ENGINE:
             return OpenAiEngine(settings.url)
@@ -112,7 +119,7 @@
             return HttpService(settings.url)
 
 
-def _target_of(adapter: Adapter) -> Target:
+def _wrap_adapter(adapter: Adapter) -> Target:
     match adapter:
         case OpenAiEngine():
             return EngineTarget(adapter)
@@ -120,10 +127,10 @@
             return ServiceTarget(adapter)
 
 
-def _open_orders(
+def _create_order_manager(
     settings: SidecarSettings, process: Process, adapter: Adapter
 ) -> OrderManager | None:
-    """Return what carries out orders; None for a plain service, which has none."""
+    """Return the executor of model orders, or None for a plain service."""
     if not isinstance(adapter, OpenAiEngine):
         return None
     return OrderManager(
--- a/src/endivegw/dev/__init__.py
+++ b/src/endivegw/dev/__init__.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one process on loopback, for development and exercises.
+"""A complete fleet in one process on loopback, for development and exercises.
 
-The only part of the package that may import the stand-ins.
+This is the only part of the package that may import the stand-ins.
 """
--- a/src/endivegw/dev/figures.py
+++ b/src/endivegw/dev/figures.py
@@ -1,4 +1,4 @@
-"""What an exercise reports."""
+"""Figures that an exercise reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value below which a share of the values lies; 0.0 for none."""
+    """Return the value below which the given share of values lies; 0.0 for none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -19,22 +19,24 @@
 
 @attrs.define
 class ExerciseFigures:
-    """Hold what callers and engines counted, apart from the code under test.
+    """Figures counted by callers and engines, independently of the code under test.
 
-    :ivar requests: requests that callers made; a retry under the same key is
-        the same request.
-    :ivar overspend_tokens: consumed at engines beyond what was topped up.
-    :ivar false_refusals: requests that ended refused although the budget and
-        the engines had room.
-    :ivar lost: requests that got neither an answer nor an honest refusal or
-        "unknown", their retries included.
+    :ivar requests: requests of callers; a retry under the same key counts as the same
+        request.
+    :ivar overspend_tokens: tokens consumed at engines beyond what was topped up.
+    :ivar false_refusals: requests that were refused although the budget and the
+        engines had capacity.
+    :ivar lost: requests that got neither an answer nor a stated refusal or "unknown",
+        their retries included.
     :ivar doubled: requests that may not be repeated and ran more than once.
-    :ivar wrong_not_run: requests told "not run" that had run.
+    :ivar wrong_not_run: requests reported as "not run" that had run.
     :ivar unknown_outcomes: requests that ended with "unknown".
-    :ivar unreconciled_tokens: settled more or less than billed; must be 0.
-    :ivar unsettled_tokens: still escrowed after the planned stop.
-    :ivar charged_beyond_tokens: settled beyond what engines consumed, where a
-        process that knew the true figure was killed.
+    :ivar cut_answers_that_looked_whole: answers that ended normally but differ from
+        the expected text.
+    :ivar unreconciled_tokens: difference between settled and billed tokens; must be 0.
+    :ivar unsettled_tokens: tokens that are still escrowed after the planned stop.
+    :ivar charged_beyond_tokens: tokens settled beyond what engines consumed. This
+        happens where a process that knew the exact figure was killed.
     """
 
     seed: int
@@ -62,5 +64,5 @@
     violations: list[str] = attrs.field(factory=list)
 
     def as_document(self) -> dict[str, Any]:
-        """Return the figures as plain values for JSON."""
+        """Return the figures as JSON-serialisable values."""
         return attrs.asdict(self)
--- a/src/endivegw/dev/fleet.py
+++ b/src/endivegw/dev/fleet.py
@@ -1,4 +1,4 @@
-"""Run the stand-ins, the sidecars and the routers in one process."""
+"""Run stand-ins, sidecars and routers in one process."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 from endivegw.dev.sample import SAMPLE_BUDGET_TOKENS, SampleAccount, load_sample
 from endivegw.services import ListedVm, VmState
-from endivegw_standins.engine_app import EngineApp, EngineKnobs, FakeEngine
+from endivegw_standins.engine_app import EngineApp, EngineOptions, FakeEngine
 from endivegw_standins.platform_app import StandinPlatform
 from endivegw_standins.ports import reserve_port
 from endivegw_standins.service_app import ServiceApp
@@ -36,7 +36,7 @@
 
 @define
 class RunningRouter:
-    """Hold a router that runs, and what ends it at once, as a crash would."""
+    """A running router, with a cancel scope that ends it like a crash."""
 
     number: int
     router: Router
@@ -44,13 +44,13 @@
     scope: anyio.CancelScope
 
     def kill(self) -> None:
-        """End the router without any of its planned stop."""
+        """Cancel the router without a graceful shutdown."""
         self.scope.cancel()
 
 
 @define
 class RunningSidecar:
-    """Hold a sidecar that runs beside its target."""
+    """A running sidecar with its target."""
 
     number: int
     target: DevTarget
@@ -59,15 +59,15 @@
     scope: anyio.CancelScope
 
     def kill(self) -> None:
-        """End the sidecar without any of its planned stop."""
+        """Cancel the sidecar without a graceful shutdown."""
         self.scope.cancel()
 
 
 @define
 class DevFleet:
-    """Hold the fleet's parts while it runs.
+    """A fleet in one process.
 
-    :param http_ports: where the routers listen; 0 for any free port.
+    :param http_ports: ports on which the routers listen; 0 for any free port.
     """
 
     http_ports: tuple[int, ...] = (0, 0)
@@ -83,7 +83,7 @@
     peer_port: int = 0
 
     async def start(self, tasks: TaskGroup) -> None:
-        """Start everything; return when the routers are ready."""
+        """Start all parts; return when the routers are ready."""
         self.peer_port = reserve_port()
         check_addresses(self.peer_port)
         self.platform_url = await serve_in(tasks, self.platform, lifespan=False)
@@ -100,15 +100,15 @@
     async def start_router(
         self, tasks: TaskGroup, number: int, http_port: int
     ) -> RunningRouter:
-        """Start the numbered router and add it to the platform's list."""
+        """Start the numbered router and add its vm to the platform's list."""
         settings = router_settings(
             number, http_port, self.peer_port, self.platform_url, self.log_level
         )
         zone = ZONES[(number - 1) % len(ZONES)]
-        self._list(f"entry-{number}", router_address(number), zone, "router")
+        self._list_vm(f"entry-{number}", router_address(number), zone, "router")
         router = build_router(settings)
         scope = anyio.CancelScope()
-        host, port = await tasks.start(_run_in, scope, router.run)
+        host, port = await tasks.start(_run_in_scope, scope, router.run)
         running = RunningRouter(number, router, f"http://{host}:{port}", scope)
         self.routers.append(running)
         return running
@@ -116,22 +116,22 @@
     async def start_sidecar(
         self, tasks: TaskGroup, number: int, target: DevTarget, url: str
     ) -> RunningSidecar:
-        """Start the sidecar beside the numbered target and list its machine."""
+        """Start the sidecar of the numbered target and list its vm."""
         settings = sidecar_settings(
             number, target, url, self.peer_port, self.platform_url
         )
-        # The platform lists a machine before a process runs on it.
+        # The platform lists a vm before a process runs on it.
         address = target_address(number)
-        self._list(f"target-{number}", address, target.availability_zone, "target")
+        self._list_vm(f"target-{number}", address, target.availability_zone, "target")
         sidecar = build_sidecar(settings)
         scope = anyio.CancelScope()
-        await tasks.start(_run_in, scope, sidecar.run)
+        await tasks.start(_run_in_scope, scope, sidecar.run)
         running = RunningSidecar(number, target, url, sidecar, scope)
         self.sidecars.append(running)
         return running
 
     async def drain(self) -> None:
-        """Stop as planned: routers first, so that sidecars end what runs."""
+        """Shut down gracefully, routers first, so that sidecars can finish requests."""
         async with anyio.create_task_group() as tasks:
             for router in self.routers:
                 tasks.start_soon(router.router.drain)
@@ -144,16 +144,18 @@
             service = ServiceApp()
             self.services[target.name] = service
             return await serve_in(tasks, service, lifespan=False)
-        engine = FakeEngine(models={MODEL}, knobs=EngineKnobs(checks_fence=False))
+        engine = FakeEngine(models={MODEL}, options=EngineOptions(checks_fence=False))
         self.engines[target.name] = engine
         return await serve_in(tasks, EngineApp(engine), lifespan=True)
 
-    def _list(self, vm: str, address: str, zone: Any, role: str) -> None:
-        others = [line for line in self.platform.vms if line.vm != vm]
-        self.platform.vms = others + [ListedVm(vm, address, zone, role, VmState.LIVE)]
+    def _list_vm(self, vm: str, address: str, zone: Any, role: str) -> None:
+        other_vms = [line for line in self.platform.vms if line.vm != vm]
+        self.platform.vms = other_vms + [
+            ListedVm(vm, address, zone, role, VmState.LIVE)
+        ]
 
 
-async def _run_in(
+async def _run_in_scope(
     scope: anyio.CancelScope,
     run: Any,
     *,
@@ -163,5 +165,5 @@
         await run(task_status=task_status)
 
 
-#: Where the routers of ``endivegw dev`` listen, unless told otherwise.
+#: Default ports of the routers of ``endivegw dev``.
 DEFAULT_HTTP_PORTS = (8080, 8081)
--- a/src/endivegw/dev/layout.py
+++ b/src/endivegw/dev/layout.py
@@ -40,13 +40,13 @@
 SERVICE = "lobby-app"
 ZONES = tuple(AvailabilityZone(z) for z in ("Cumbaya", "Inaquito", "Quitumbe"))
 
-#: A fleet that is stopped by hand must not hold the terminal for ten minutes.
+#: A fleet that is stopped by hand must not block the terminal for ten minutes.
 _DRAIN_BOUND_S = 20.0
 
 
 @frozen
 class DevTarget:
-    """Name one target of the fleet."""
+    """Name, kind and location of one target of the fleet."""
 
     name: TargetName
     kind: TargetKind
@@ -63,27 +63,27 @@
 
 
 def router_address(number: int) -> str:
-    """Return the loopback address of the numbered router's machine."""
+    """Return the loopback address of the numbered router's vm."""
     return f"127.0.2.{number}"
 
 
 def target_address(number: int) -> str:
-    """Return the loopback address of the numbered target's machine."""
+    """Return the loopback address of the numbered target's vm."""
     return f"127.0.1.{number}"
 
 
 def check_addresses(port: int) -> None:
-    """Check that daemons can listen on other loopback addresses than the first.
+    """Check that daemons can listen on loopback addresses other than 127.0.0.1.
 
-    :raises EndivegwError: where the system has none of them.
+    :raises EndivegwError: if the system does not provide them.
     """
     with socket.socket() as probe:
         try:
             probe.bind((target_address(1), port))
         except OSError as error:
             raise EndivegwError(
-                "the development fleet needs the whole 127.0.0.0/8 network, "
-                f"and {target_address(1)} cannot be used: {error}"
+                "the development fleet requires the complete 127.0.0.0/8 network, "
+                f"but cannot bind to {target_address(1)}:{port}: {error}"
             ) from error
 
 
@@ -104,8 +104,8 @@
             default_deadline_s=30.0,
             max_deadline_s=600.0,
         ),
-        peers=_peers(router_address(number), peer_port),
-        platform=_platform(platform_url),
+        peers=_peer_settings(router_address(number), peer_port),
+        platform=_platform_settings(platform_url),
         logs=LogSettings(log_level, None),
     )
 
@@ -113,7 +113,7 @@
 def sidecar_settings(
     number: int, target: DevTarget, url: str, peer_port: int, platform_url: str
 ) -> SidecarSettings:
-    """Return the settings of the sidecar beside the numbered target."""
+    """Return the settings of the numbered target's sidecar."""
     return SidecarSettings(
         process=ProcessSettings(
             vm=f"target-{number}",
@@ -128,13 +128,13 @@
             checks_fence=False,
             max_running=64,
         ),
-        peers=_peers(target_address(number), peer_port),
-        platform=_platform(platform_url),
+        peers=_peer_settings(target_address(number), peer_port),
+        platform=_platform_settings(platform_url),
         logs=LogSettings("info", None),
     )
 
 
-def _peers(ip: str, peer_port: int) -> PeerSettings:
+def _peer_settings(ip: str, peer_port: int) -> PeerSettings:
     return PeerSettings(
         listen=Address(ip, peer_port),
         address=Address(ip, peer_port),
@@ -144,7 +144,7 @@
     )
 
 
-def _platform(url: str) -> PlatformSettings:
+def _platform_settings(url: str) -> PlatformSettings:
     return PlatformSettings(
         table_url=f"{url}/table",
         object_store_url=f"{url}/objects",
--- a/src/endivegw/dev/oracle.py
+++ b/src/endivegw/dev/oracle.py
@@ -1,4 +1,7 @@
-"""Count what happened at engines and callers, apart from the code under test."""
+"""Test oracle: compares the records of engines and callers.
+
+The records are kept independently of the code under test.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +24,14 @@
 from endivegw.types import BudgetKey, ClientAccountName, Outcome
 from endivegw_standins.engine_text import answer_text
 
-__all__ = ["Oracle", "SeenTopUp"]
+__all__ = ["Oracle", "RecordedTopUp"]
 
 _TIMEOUT_S = 5.0
 
 
 @frozen
-class SeenTopUp:
-    """Hold a top-up and when it was accepted."""
+class RecordedTopUp:
+    """A top-up and the time at which it was accepted."""
 
     client_account: ClientAccountName
     tokens: int
@@ -36,44 +39,44 @@
 
 
 @define
-class _Runs:
-    """Hold what engines and services did for one call.
+class _RunRecord:
+    """Work of engines and services for one call.
 
-    :ivar began_s: when it first started, on the clock of the calls.
+    :ivar started_s: time of the first start, on the clock of the calls.
     """
 
     starts: int = 0
     tokens: int = 0
-    began_s: float = math.inf
+    started_s: float = math.inf
 
 
 @define
 class Oracle:
-    """Compare what callers were told with what engines did."""
+    """Compare the outcomes reported to callers with the runs of engines."""
 
     fleet: DevFleet
-    top_ups: list[SeenTopUp]
+    top_ups: list[RecordedTopUp]
     calls: list[Call] = field(factory=list)
 
-    async def judge(self, figures: ExerciseFigures) -> None:
-        """Fill in the figures, and list the promises that were broken."""
-        runs = self._runs()
+    async def evaluate(self, figures: ExerciseFigures) -> None:
+        """Fill in the figures and list the invariants that were violated."""
+        runs = self._read_runs()
         figures.requests = len(self.calls)
         for call in self.calls:
-            self._judge_call(call, runs, figures)
-        self._judge_budgets(runs, figures)
-        await self._judge_bill(figures)
-        answered = [c.end for c in self.calls if c.end and _was_answered(c)]
-        elapsed = [end.elapsed_s for end in answered]
+            self._evaluate_call(call, runs, figures)
+        self._evaluate_budgets(runs, figures)
+        await self._evaluate_bill(figures)
+        answered = [c.result for c in self.calls if c.result and _was_answered(c)]
+        elapsed = [result.elapsed_s for result in answered]
         first = [e.first_data_s for e in answered if e.first_data_s is not None]
         figures.p50_s = round(percentile(elapsed, 0.5), 4)
         figures.p95_s = round(percentile(elapsed, 0.95), 4)
         figures.first_token_p95_s = round(percentile(first, 0.95), 4)
-        figures.caller_retries = sum(c.tries - 1 for c in self.calls)
-        figures.violations += _broken_promises(figures)
+        figures.caller_retries = sum(c.send_count - 1 for c in self.calls)
+        figures.violations += _violated_invariants(figures)
 
     def consumed_tokens(self, account: SampleAccount) -> int:
-        """Return what engines consumed for an account so far."""
+        """Return the tokens that engines have consumed for an account."""
         total = 0
         for engine in self.fleet.engines.values():
             for attempt_id, count in engine.consumed.items():
@@ -82,68 +85,68 @@
                     total += count.prompt_tokens + count.completion_tokens
         return total
 
-    def _runs(self) -> dict[str, _Runs]:
-        runs: dict[str, _Runs] = {}
+    def _read_runs(self) -> dict[str, _RunRecord]:
+        runs: dict[str, _RunRecord] = {}
         for engine in self.fleet.engines.values():
             for attempt_id, count in engine.consumed.items():
                 name = engine.generations[attempt_id].prompt.text.split()[0]
-                run = runs.setdefault(name, _Runs())
+                run = runs.setdefault(name, _RunRecord())
                 run.starts += count.starts
-                run.began_s = min(run.began_s, count.began_s)
+                run.started_s = min(run.started_s, count.started_s)
                 run.tokens += count.prompt_tokens + count.completion_tokens
         for service in self.fleet.services.values():
             for body, calls in Counter(service.bodies).items():
-                run = runs.setdefault(body.decode(), _Runs())
+                run = runs.setdefault(body.decode(), _RunRecord())
                 run.starts += calls
-                run.began_s = min(run.began_s, service.began_s[body])
+                run.started_s = min(run.started_s, service.started_s[body])
         return runs
 
-    def _judge_call(
-        self, call: Call, runs: dict[str, _Runs], figures: ExerciseFigures
+    def _evaluate_call(
+        self, call: Call, runs: dict[str, _RunRecord], figures: ExerciseFigures
     ) -> None:
-        run = runs.get(call.name, _Runs())
+        run = runs.get(call.name, _RunRecord())
         if call.kind in RUN_ONCE and run.starts > 1:
             figures.doubled += 1
             figures.violations.append(f"{call.name} ran {run.starts} times")
-        if _wrongly_told_not_run(call, run):
+        if _has_false_not_run(call, run):
             figures.wrong_not_run += 1
-            told = f"{call.name} ({call.kind.value}) ran and was told not run"
-            figures.violations.append(f"{told}: {_told_tries(call)}")
-        end = call.end
-        if end is None or end.outcome is None:
+            summary = f"{call.name} ({call.kind.value}) ran but was reported as not run"
+            figures.violations.append(f"{summary}: {_describe_sends(call)}")
+        result = call.result
+        if result is None or result.outcome is None:
             figures.lost += 1
-            figures.violations.append(_told_lost(call))
+            figures.violations.append(_describe_lost(call))
             return
-        match end.outcome:
+        match result.outcome:
             case Outcome.ANSWERED:
                 figures.answered += 1
-                if end.text != _expected_text(call):
+                if result.text != _expected_text(call):
                     figures.cut_answers_that_looked_whole += 1
-                    figures.violations.append(f"{call.name} got another answer")
+                    figures.violations.append(f"{call.name} got a wrong answer")
             case Outcome.UNKNOWN:
                 figures.unknown_outcomes += 1
             case Outcome.NOT_RUN:
-                self._judge_refusal(call, runs, figures)
+                self._evaluate_refusal(call, runs, figures)
 
-    def _judge_refusal(
-        self, call: Call, runs: dict[str, _Runs], figures: ExerciseFigures
+    def _evaluate_refusal(
+        self, call: Call, runs: dict[str, _RunRecord], figures: ExerciseFigures
     ) -> None:
-        assert call.end is not None
+        assert call.result is not None
         figures.refused += 1
         codes = figures.refusals_by_code
-        codes[call.end.code] = codes.get(call.end.code, 0) + 1
-        if call.end.code != Reason.BUDGET_EXHAUSTED.value:
-            # The engines have room for several times this load.
+        codes[call.result.code] = codes.get(call.result.code, 0) + 1
+        if call.result.code != Reason.BUDGET_EXHAUSTED.value:
+            # The engines have capacity for several times this load.
             figures.false_refusals += 1
             return
-        if self._left_tokens(call, runs) >= call.bound_tokens:
+        if self._remaining_tokens(call, runs) >= call.estimated_tokens:
             figures.false_refusals += 1
 
-    def _left_tokens(self, call: Call, runs: dict[str, _Runs]) -> int:
-        """Return what a refused call's account had left at that moment.
+    def _remaining_tokens(self, call: Call, runs: dict[str, _RunRecord]) -> int:
+        """Return the account's balance at the time when a call was refused.
 
-        Calls that had begun by then count with all that they consumed in the
-        end, as nobody could know how short their answers would be.
+        Calls that had started by then count with their final consumption, because the
+        lengths of their answers were not known yet.
         """
         account = call.account.client_account
         topped_up_tokens = sum(
@@ -152,13 +155,15 @@
             if top_up.client_account == account and top_up.at_s <= call.ended_at_s
         )
         consumed_tokens = sum(
-            runs.get(other.name, _Runs()).tokens
+            runs.get(other.name, _RunRecord()).tokens
             for other in self.calls
-            if other.account is call.account and other.began_at_s <= call.ended_at_s
+            if other.account is call.account and other.started_at_s <= call.ended_at_s
         )
         return topped_up_tokens - consumed_tokens
 
-    def _judge_budgets(self, runs: dict[str, _Runs], figures: ExerciseFigures) -> None:
+    def _evaluate_budgets(
+        self, runs: dict[str, _RunRecord], figures: ExerciseFigures
+    ) -> None:
         figures.consumed_tokens = sum(run.tokens for run in runs.values())
         for account in self.fleet.accounts:
             topped_up_tokens = sum(
@@ -166,69 +171,71 @@
                 for top_up in self.top_ups
                 if top_up.client_account == account.client_account
             )
-            over_tokens = self.consumed_tokens(account) - topped_up_tokens
-            figures.overspend_tokens += max(0, over_tokens)
+            overspent_tokens = self.consumed_tokens(account) - topped_up_tokens
+            figures.overspend_tokens += max(0, overspent_tokens)
 
-    async def _judge_bill(self, figures: ExerciseFigures) -> None:
-        for row in await self._rows():
-            records = await self._records(row.budget)
-            found = reconcile(row, records)
+    async def _evaluate_bill(self, figures: ExerciseFigures) -> None:
+        for row in await self._read_budget_rows():
+            records = await self._read_bill_records(row.budget)
+            reconciliation = reconcile(row, records)
             figures.settled_tokens += row.settled_tokens
             figures.unsettled_tokens += row.granted_tokens
-            figures.unreconciled_tokens += abs(found.difference_tokens)
-            if found.doubled:
-                figures.violations.append(f"billed twice: {found.doubled}")
-        beyond = figures.settled_tokens - figures.consumed_tokens
-        figures.charged_beyond_tokens = max(0, beyond)
+            figures.unreconciled_tokens += abs(reconciliation.difference_tokens)
+            if reconciliation.doubled:
+                figures.violations.append(f"billed twice: {reconciliation.doubled}")
+        excess_tokens = figures.settled_tokens - figures.consumed_tokens
+        figures.charged_beyond_tokens = max(0, excess_tokens)
 
-    async def _records(self, budget: BudgetKey) -> list[BillRecord]:
+    async def _read_bill_records(self, budget: BudgetKey) -> list[BillRecord]:
         records: list[BillRecord] = []
         async for record in read_bill(self.fleet.platform.table, budget):
             if not isinstance(record, BillRecord):
-                raise PlatformError(f"the stand-in table gave no bill: {record}")
+                raise PlatformError(f"cannot read the bill of {budget}: {record}")
             records.append(record)
         return records
 
-    async def _rows(self) -> Iterable[BudgetRow]:
+    async def _read_budget_rows(self) -> Iterable[BudgetRow]:
         result = await list_budgets(self.fleet.platform.table, timeout_s=_TIMEOUT_S)
         if isinstance(result, Done):
             return result.value
-        raise PlatformError(f"the stand-in table gave no rows: {result}")
+        raise PlatformError(f"cannot read the budget rows: {result}")
 
 
-def _wrongly_told_not_run(call: Call, run: _Runs) -> bool:
-    """Return whether "not run" was said of something that had started.
+def _has_false_not_run(call: Call, run: _RunRecord) -> bool:
+    """Return whether a call was reported as "not run" although it had started.
 
-    Of what runs once, the word speaks of every try before it. Otherwise it
-    speaks of one try, and nothing ran where all of them were told so.
+    For a call that must run at most once, "not run" covers all earlier sends as well.
+    For other calls it covers one send, and nothing may have run if all sends were
+    reported as "not run".
     """
     if call.kind not in RUN_ONCE:
         return bool(run.starts) and _was_always_refused(call)
-    started_s = run.began_s - call.began_at_s
-    refused = [one for one in call.tried if one.outcome is Outcome.NOT_RUN]
-    return any(one.ended_s > started_s for one in refused)
+    started_s = run.started_s - call.started_at_s
+    refused = [send for send in call.send_results if send.outcome is Outcome.NOT_RUN]
+    return any(send.ended_s > started_s for send in refused)
 
 
 def _was_always_refused(call: Call) -> bool:
-    ended = len(call.tried) == call.tries
-    return ended and all(one.outcome is Outcome.NOT_RUN for one in call.tried)
+    ended = len(call.send_results) == call.send_count
+    return ended and all(send.outcome is Outcome.NOT_RUN for send in call.send_results)
 
 
 def _was_answered(call: Call) -> bool:
-    return call.end is not None and call.end.outcome is Outcome.ANSWERED
+    return call.result is not None and call.result.outcome is Outcome.ANSWERED
 
 
-def _told_lost(call: Call) -> str:
-    """Return how a call was lost: what each of its tries met."""
-    running = "" if call.end else ", still under way at the end"
+def _describe_lost(call: Call) -> str:
+    """Describe a lost call with the result of each send."""
+    running = "" if call.result else ", still in progress at the end"
     kind = call.kind.value
     return (
-        f"{call.name} ({kind}) lost in {call.tries} tries{running}: {_told_tries(call)}"
+        f"{call.name} ({kind}) lost in {call.send_count} sends{running}: "
+        f"{_describe_sends(call)}"
     )
 
 
-def _told_tries(call: Call) -> str:
-    return "; ".join(str(one) for one in call.tried)
+def _describe_sends(call: Call) -> str:
+    return "; ".join(str(send) for send in call.send_results)
 
 
 def _expected_text(call: Call) -> str:
@@ -238,15 +245,19 @@
     return answer_text(prompt, call.max_tokens)
 
 
-def _broken_promises(figures: ExerciseFigures) -> list[str]:
-    broken = []
+def _violated_invariants(figures: ExerciseFigures) -> list[str]:
+    found = []
     if figures.overspend_tokens:
-        broken.append(f"overspend of {figures.overspend_tokens} tokens")
+        found.append(f"overspend of {figures.overspend_tokens} tokens")
     if figures.lost:
-        broken.append(f"{figures.lost} requests lost")
+        found.append(f"{figures.lost} requests lost")
     if figures.unreconciled_tokens:
-        broken.append(f"{figures.unreconciled_tokens} tokens not billed as settled")
-    short = figures.consumed_tokens - figures.settled_tokens - figures.unsettled_tokens
-    if short > 0:
-        broken.append(f"{short} consumed tokens neither settled nor escrowed")
-    return broken
+        found.append(f"{figures.unreconciled_tokens} tokens not billed as settled")
+    missing_tokens = (
+        figures.consumed_tokens - figures.settled_tokens - figures.unsettled_tokens
+    )
+    if missing_tokens > 0:
+        found.append(
+            f"{missing_tokens} consumed tokens are neither settled nor escrowed"
+        )
+    return found
--- a/src/endivegw/dev/patience.py
+++ b/src/endivegw/dev/patience.py
@@ -1,4 +1,4 @@
-"""Time limits that count only while the process runs."""
+"""Timeouts that count only the time during which the process runs."""
 
 from __future__ import annotations
 
@@ -8,49 +8,49 @@
 import anyio
 from attrs import define, field
 
-__all__ = ["Patience"]
+__all__ = ["StallAwareTimeouts"]
 
 _TICK_S = 0.05
 
 
 @define
-class Patience:
-    """Bound how long callers wait for routers that share their process.
+class StallAwareTimeouts:
+    """Limit how long callers wait for routers in the same process.
 
-    A process that gets no processor time for seconds has a caller's time-out pass
-    together with the router's own. The caller would hang up before the router could
-    say a word, and the request would count as lost. A tick that comes late counts
-    like any other, so that both go on side by side.
+    If the process gets no CPU time for seconds, the timeouts of a caller and of the
+    router expire together. The caller would disconnect before the router could
+    respond, and the request would count as lost. A late tick therefore counts as one
+    interval like any other, so that caller and router continue together.
 
-    :ivar running_s: how long the process has run, but for its stalls.
+    :ivar running_s: time for which the process has run, without stalls.
     """
 
     running_s: float = 0.0
-    _ends_s: dict[anyio.CancelScope, float] = field(factory=dict)
+    _deadlines_s: dict[anyio.CancelScope, float] = field(factory=dict)
 
     async def run(self) -> None:
-        """Count, and cancel what has come to its limit, until cancelled."""
+        """Count ticks and cancel scopes whose timeout has expired, until cancelled."""
         while True:
             await anyio.sleep(_TICK_S)
             self.running_s += _TICK_S
-            for scope, end_s in tuple(self._ends_s.items()):
-                if end_s <= self.running_s:
+            for scope, deadline_s in tuple(self._deadlines_s.items()):
+                if deadline_s <= self.running_s:
                     scope.cancel()
 
     @contextmanager
-    def move_on_after(self, seconds_s: float) -> Iterator[anyio.CancelScope]:
-        """Cancel what is inside after a time, without an error."""
+    def move_on_after(self, timeout_s: float) -> Iterator[anyio.CancelScope]:
+        """Cancel the block after a time, without raising an error."""
         with anyio.CancelScope() as scope:
-            self._ends_s[scope] = self.running_s + seconds_s
+            self._deadlines_s[scope] = self.running_s + timeout_s
             try:
                 yield scope
             finally:
-                del self._ends_s[scope]
+                del self._deadlines_s[scope]
 
     @contextmanager
-    def fail_after(self, seconds_s: float) -> Iterator[None]:
-        """Cancel what is inside after a time and raise :exc:`TimeoutError`."""
-        with self.move_on_after(seconds_s) as scope:
+    def fail_after(self, timeout_s: float) -> Iterator[None]:
+        """Cancel the block after a time and raise :exc:`TimeoutError`."""
+        with self.move_on_after(timeout_s) as scope:
             yield
         if scope.cancelled_caught:
             raise TimeoutError
--- a/src/endivegw/dev/sample.py
+++ b/src/endivegw/dev/sample.py
@@ -1,4 +1,4 @@
-"""The sample configuration: two client accounts, a template, and targets."""
+"""Sample configuration with two client accounts, a template and targets."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @frozen
 class SampleAccount:
-    """Hold an account of the sample and its key, which is shown once."""
+    """A sample account with its API key, which is returned only on creation."""
 
     client_account: ClientAccountName
     key: str
@@ -43,13 +43,13 @@
     table: TablePort, budget_tokens: tuple[int, int]
 ) -> tuple[SampleAccount, ...]:
     """Write the sample configuration and return its accounts."""
-    shared = Parameters(
+    template_parameters = Parameters(
         models=(MODEL,),
         services=(SERVICE,),
         repeatable_paths=(f"{SERVICE}/status",),
         max_output_tokens=256,
     )
-    _done(await create_template(table, _operation(), _TEMPLATE, shared))
+    _unwrap(await create_template(table, _operation(), _TEMPLATE, template_parameters))
     for target in TARGETS:
         parameters = TargetParameters(
             target=target.name,
@@ -57,17 +57,17 @@
             availability_zone=target.availability_zone,
             serves=target.serves,
         )
-        _done(await set_target(table, _operation(), parameters))
+        _unwrap(await set_target(table, _operation(), parameters))
     return (
-        await _account(table, "kiosks", Priority.URGENT, budget_tokens[0]),
-        await _account(table, "planning", Priority.NORMAL, budget_tokens[1]),
+        await _create_account(table, "kiosks", Priority.URGENT, budget_tokens[0]),
+        await _create_account(table, "planning", Priority.NORMAL, budget_tokens[1]),
     )
 
 
-async def _account(
+async def _create_account(
     table: TablePort, name: str, priority: Priority, budget_tokens: int
 ) -> SampleAccount:
-    created: CreatedKey = _done(
+    created: CreatedKey = _unwrap(
         await create_account(
             table,
             _operation(),
@@ -78,7 +78,7 @@
     )
     account = ClientAccountName(name)
     budget = BudgetKey(account, "main")
-    _done(
+    _unwrap(
         await top_up(
             table,
             budget,
@@ -95,7 +95,7 @@
     return Operation(uuid.uuid4().hex, "dev", time.time(), timeout_s=_TIMEOUT_S)
 
 
-def _done(result: Result[T]) -> T:
+def _unwrap(result: Result[T]) -> T:
     if isinstance(result, Done):
         return result.value
-    raise PlatformError(f"the sample could not be written: {result}")
+    raise PlatformError(f"cannot write the sample configuration: {result}")
--- a/src/endivegw/platform/__init__.py
+++ b/src/endivegw/platform/__init__.py
@@ -1,5 +1,5 @@
-"""The adapter of the users' platform: the one folder that knows its names.
+"""Adapter of the users' platform, and the only package that knows its names.
 
-It turns the platform's rows, header fields and calls into the product's types
-and back. It decides nothing.
+It converts the platform's rows, header fields and calls to the product's types and
+back. It contains no decision logic.
 """
--- a/src/endivegw/platform/command.py
+++ b/src/endivegw/platform/command.py
@@ -37,7 +37,7 @@
 
 __all__ = ["PlatformDecoder", "platform_router"]
 
-#: Where the platform says which settings file is the process's own.
+#: Environment variable in which the platform passes the path of the settings file.
 _SETTINGS_VARIABLE = "ENDIVEGW_SETTINGS"
 
 
@@ -49,11 +49,11 @@
     targets_table = TARGETS_TABLE
 
     def configuration(self, value: bytes) -> FleetConfiguration:
-        """Return a configuration."""
+        """Decode the operator's configuration."""
         return decode_configuration(value)
 
     def target(self, key: str, value: bytes) -> DirectTarget:
-        """Return a target's entry."""
+        """Decode a target's entry."""
         return decode_target(key, value)
 
 
@@ -69,7 +69,7 @@
 def platform_router(settings_path: pathlib.Path | None, check_settings: bool) -> None:
     """Run a router on the platform's entry VMs.
 
-    SIGTERM stops it as planned: it ends what it has, gives its tokens back and
+    SIGTERM drains the router: it finishes its requests, returns its tokens and
     exits.
     """
     if settings_path is None:
@@ -89,40 +89,52 @@
         router = build_direct_router(
             settings, store, PlatformWire(), PlatformDecoder(), STARTED_S
         )
-        reread = functools.partial(_reread, pathlib.Path(settings_path), settings)
-        anyio.run(_run, router, lines, reread)
+        check_changed_settings = functools.partial(
+            _check_changed_settings, pathlib.Path(settings_path), settings
+        )
+        anyio.run(_run, router, lines, check_changed_settings)
     lines.flush()
 
 
-def _reread(path: pathlib.Path, in_force: DirectRouterSettings) -> None:
-    """Say whether changed settings are valid; addresses cannot change in flight."""
-    log = EventLog("router", vm=in_force.vm)
+def _check_changed_settings(path: pathlib.Path, active: DirectRouterSettings) -> None:
+    """Log whether the settings file is valid and differs from the active settings.
+
+    The settings are not applied, because addresses cannot change while running.
+    """
+    log = EventLog("router", vm=active.vm)
     try:
-        found = load_direct_router_settings(path)
+        changed_settings = load_direct_router_settings(path)
     except EndivegwError as error:
         log.emit(SETTINGS_READ, valid=False, changed=None, detail=error.message)
         return
-    log.emit(SETTINGS_READ, valid=True, changed=found != in_force, detail="")
+    log.emit(SETTINGS_READ, valid=True, changed=changed_settings != active, detail="")
 
 
 async def _run(
-    router: DirectRouter, lines: BoundedLineBuffer, reread: Callable[[], None]
+    router: DirectRouter,
+    lines: BoundedLineBuffer,
+    check_changed_settings: Callable[[], None],
 ) -> None:
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lines.run)
-        tasks.start_soon(_watch_signals, router, reread)
+        tasks.start_soon(_watch_signals, router, check_changed_settings)
         await router.run()
         tasks.cancel_scope.cancel()
 
 
-async def _watch_signals(router: DirectRouter, reread: Callable[[], None]) -> None:
-    """Stop on SIGTERM; on SIGHUP look at the settings, which hold until a restart."""
+async def _watch_signals(
+    router: DirectRouter, check_changed_settings: Callable[[], None]
+) -> None:
+    """Drain on SIGTERM or SIGINT; validate the settings file on SIGHUP.
+
+    Changed settings take effect with the next restart.
+    """
     with anyio.open_signal_receiver(
         signal.SIGTERM, signal.SIGINT, signal.SIGHUP
     ) as signals:
         async for number in signals:
             if number == signal.SIGHUP:
-                reread()
+                check_changed_settings()
                 continue
             await router.drain()
             return
--- a/src/endivegw/platform/configuration.py
+++ b/src/endivegw/platform/configuration.py
@@ -27,24 +27,24 @@
     "decode_target",
 ]
 
-#: The operator's table, and the row with the newest configuration.
+#: The operator's table, and the key of the row with the newest configuration.
 CONFIGURATION_TABLE = "op"
 CONFIGURATION_KEY = "config"
 
-#: Where targets register themselves, each under the id of its incarnation.
+#: Table in which targets register themselves, each under the id of its incarnation.
 TARGETS_TABLE = "servers"
 
 
-#: States that a target may be registered with.
+#: States in which a target may be registered.
 _STATES = frozenset({"ready", "draining"})
 
-#: The most slots of one target; an engine's batch has hundreds. A figure beyond it
-#: would be no count, and arithmetic with it could overflow.
-_MOST_SLOTS = 1_000_000
+#: Maximum number of slots of one target; an engine's batch has hundreds. A larger value
+#: cannot be a valid count, and arithmetic with it could overflow.
+_MAX_SLOTS = 1_000_000
 
-#: What reading bytes of any content may raise, nested without end or with numbers
-#: that no type holds.
-_UNREADABLE = (
+#: Exceptions that decoding arbitrary bytes may raise, including documents that are
+#: nested too deeply or hold numbers outside the range of a type.
+_DECODE_ERRORS = (
     ValueError,
     TypeError,
     KeyError,
@@ -55,20 +55,27 @@
 
 
 class DecodeError(ValueError):
-    """Say that a row of the operator or of a target cannot be understood."""
+    """Raised if a row of the operator or of a target cannot be decoded."""
 
 
 def decode_configuration(value: bytes) -> FleetConfiguration:
-    """Return a configuration; :exc:`DecodeError` where it is not one."""
+    """Decode a configuration.
+
+    :raises DecodeError: if the row is not a valid configuration.
+    """
     try:
         document = json.loads(value)
         services = document.get("Services") or ()
         return FleetConfiguration(
             version=int(document["Version"]),
-            routes=tuple(_route(route) for route in document.get("Routes") or ()),
+            routes=tuple(
+                _decode_route(route) for route in document.get("Routes") or ()
+            ),
             services={service["Name"]: _service_kind(service) for service in services},
-            accounts=tuple(_account(entry) for entry in document.get("Tenants") or ()),
-            limits=_limits(document.get("Limits") or {}),
+            accounts=tuple(
+                _decode_account(entry) for entry in document.get("Tenants") or ()
+            ),
+            limits=_caller_limits(document.get("Limits") or {}),
             tokens_per_event=max(
                 (
                     int((entry.get("Engine") or {}).get("Stride", 1))
@@ -76,82 +83,84 @@
                 ),
                 default=1,
             ),
-            copy_s_per_token=_copy_times(services),
+            copy_s_per_token=_copy_s_per_token(services),
         )
-    except _UNREADABLE as error:
-        raise DecodeError(f"not a configuration: {error!r}") from error
+    except _DECODE_ERRORS as error:
+        raise DecodeError(f"invalid configuration row: {error!r}") from error
 
 
 def decode_target(key: str, value: bytes) -> DirectTarget:
-    """Return a target's entry; :exc:`DecodeError` where it is not one.
+    """Decode a target's entry.
 
-    :param key: the row's key, which is the only place of the instance's id.
+    :param key: the row's key, which alone holds the id of the instance.
+    :raises DecodeError: if the row is not a valid entry of a target.
     """
     try:
-        return _target(InstanceId(key), json.loads(value))
-    except _UNREADABLE as error:
-        raise DecodeError(f"not an entry of a target: {error!r}") from error
+        return _decode_entry(InstanceId(key), json.loads(value))
+    except _DECODE_ERRORS as error:
+        raise DecodeError(f"invalid target entry: {error!r}") from error
 
 
-def _target(instance_id: InstanceId, entry: Any) -> DirectTarget:
-    """Return a target; an error where a field is missing or of another type.
+def _decode_entry(instance_id: InstanceId, entry: Any) -> DirectTarget:
+    """Return a target; raise an error if a field is missing or of another type.
 
-    Others than targets may write entries. One that was read generously, a number as
-    text for a number, would send callers to an address where no target is.
+    Processes other than targets may write entries too. Lenient decoding, for example
+    of a number that is given as text, would send callers to an address without a
+    target.
     """
-    _text(entry, "Version")
-    _whole(entry, "Sequence")
-    _number(entry, "ColdRemainingMs")
-    state = _text(entry, "State")
+    _read_string(entry, "Version")
+    _read_integer(entry, "Sequence")
+    _read_number(entry, "ColdRemainingMs")
+    state = _read_string(entry, "State")
     if state not in _STATES:
-        raise DecodeError(f"unknown state {state!r}")
-    slots = _whole(entry, "Slots")
-    if not 1 <= slots <= _MOST_SLOTS:
-        raise DecodeError(f"{slots} slots")
+        raise DecodeError(f"unknown target state {state!r}")
+    slots = _read_integer(entry, "Slots")
+    if not 1 <= slots <= _MAX_SLOTS:
+        raise DecodeError(f"Slots is {slots}, not between 1 and {_MAX_SLOTS}")
     return DirectTarget(
         instance_id=instance_id,
-        service=_text(entry, "Service"),
-        address=_address(_text(entry, "Address")),
-        availability_zone=AvailabilityZone(_text(entry, "Zone")),
+        service=_read_string(entry, "Service"),
+        address=_check_address(_read_string(entry, "Address")),
+        availability_zone=AvailabilityZone(_read_string(entry, "Zone")),
         slots=slots,
         leaving=state == "draining",
-        # The name is that of a birth; it is the start of this incarnation.
-        started_ms=_whole(entry, "born") if "born" in entry else None,
+        # The field "born" holds the start time of this incarnation.
+        started_ms=_read_integer(entry, "born") if "born" in entry else None,
     )
 
 
-def _text(entry: Mapping[str, Any], name: str) -> str:
+def _read_string(entry: Mapping[str, Any], name: str) -> str:
     value = entry[name]
     if not isinstance(value, str) or not value:
-        raise DecodeError(f"{name} is not a text: {value!r:.40}")
+        raise DecodeError(f"{name} is not a non-empty string: {value!r:.40}")
     return value
 
 
-def _whole(entry: Mapping[str, Any], name: str) -> int:
+def _read_integer(entry: Mapping[str, Any], name: str) -> int:
     value = entry[name]
-    # True and False are whole numbers for Python, and not for the writer.
+    # bool is a subclass of int in Python, but not an integer in JSON.
     if not isinstance(value, int) or isinstance(value, bool) or value < 0:
-        raise DecodeError(f"{name} is not a whole number: {value!r:.40}")
+        raise DecodeError(f"{name} is not a non-negative integer: {value!r:.40}")
     return value
 
 
-def _number(entry: Mapping[str, Any], name: str) -> float:
+def _read_number(entry: Mapping[str, Any], name: str) -> float:
     value = entry[name]
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise DecodeError(f"{name} is not a number: {value!r:.40}")
     return float(value)
 
 
-def _address(value: str) -> str:
-    """Return an address that a connection can be opened to."""
+def _check_address(value: str) -> str:
+    """Check that a connection can be opened to an address and return it."""
     host, _, port = value.rpartition(":")
     ipaddress.IPv4Address(host)
     if not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise DecodeError(f"no port in {value!r:.60}")
+        raise DecodeError(f"no valid port in address {value!r:.60}")
     return value
 
 
-def _route(entry: Mapping[str, Any]) -> Route:
+def _decode_route(entry: Mapping[str, Any]) -> Route:
     split = entry.get("TrafficSplit")
     if split:
         services = tuple(
@@ -171,7 +180,7 @@
         timeout_s=float(entry["TimeoutMs"]) / 1000.0,
         objective_s=float(entry["TargetLatencyMs"]) / 1000.0,
         priority=int(entry.get("Priority", 0)),
-        # The name speaks of attempts; it bounds the targets of one request.
+        # Despite its name, MaxAttempts limits the number of targets of one request.
         max_targets=max(1, int(entry.get("MaxAttempts", 1))),
         public=bool(entry.get("Public", False)),
         pause_objective_s=None if pause_ms is None else float(pause_ms) / 1000.0,
@@ -189,15 +198,15 @@
         case "streaming":
             return RouteKind.STREAM
         case kind:
-            raise DecodeError(f"unknown kind of route {kind!r}")
+            raise DecodeError(f"unknown route kind {kind!r}")
 
 
 def _service_kind(entry: Mapping[str, Any]) -> ServiceKind:
     return ServiceKind.ENGINE if entry.get("Engine") else ServiceKind.PLAIN
 
 
-def _copy_times(services: Iterable[Mapping[str, Any]]) -> dict[str, float]:
-    """Return how long targets copy a cached token, by service of engines."""
+def _copy_s_per_token(services: Iterable[Mapping[str, Any]]) -> dict[str, float]:
+    """Return the time that copying one cached token takes, by engine service."""
     found = {}
     for service in services:
         engine = service.get("Engine") or {}
@@ -208,7 +217,7 @@
     return found
 
 
-def _account(entry: Mapping[str, Any]) -> ClientAccount:
+def _decode_account(entry: Mapping[str, Any]) -> ClientAccount:
     prepaid = entry.get("Prepaid")
     priority = entry.get("Priority")
     return ClientAccount(
@@ -219,11 +228,12 @@
     )
 
 
-def _limits(entry: Mapping[str, Any]) -> CallerLimits:
-    usual = CallerLimits()
+def _caller_limits(entry: Mapping[str, Any]) -> CallerLimits:
+    defaults = CallerLimits()
     return CallerLimits(
-        head_bytes=int(entry.get("MaxHeaderBytes", usual.head_bytes)),
-        body_bytes=int(entry.get("MaxBodyBytes", usual.body_bytes)),
-        head_timeout_s=entry.get("HeaderTimeoutMs", usual.head_timeout_s * 1e3) / 1e3,
-        idle_timeout_s=entry.get("IdleTimeoutMs", usual.idle_timeout_s * 1e3) / 1e3,
+        head_bytes=int(entry.get("MaxHeaderBytes", defaults.head_bytes)),
+        body_bytes=int(entry.get("MaxBodyBytes", defaults.body_bytes)),
+        head_timeout_s=entry.get("HeaderTimeoutMs", defaults.head_timeout_s * 1e3)
+        / 1e3,
+        idle_timeout_s=entry.get("IdleTimeoutMs", defaults.idle_timeout_s * 1e3) / 1e3,
     )
--- a/src/endivegw/platform/store.py
+++ b/src/endivegw/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as the product's port of versioned rows."""
+"""Client of the platform's metadata store, as a port of versioned rows."""
 
 from __future__ import annotations
 
@@ -27,18 +27,21 @@
 
 __all__ = ["PlatformStore"]
 
-#: Rows of one page of a listing; the store's own bound.
+#: Maximum number of rows per page of a listing, which the store defines.
 _PAGE_ROWS = 500
 
-#: How long one answer may take while it goes on coming. The largest, a page of 1 MB,
-#: takes 3 s over a link of 5 Mbit/s that carries as much again for callers.
-_LONGEST_ANSWER_S = 6.0
+#: Maximum time of one answer while its data keeps arriving. The largest answer, a page
+#: of 1 MB, takes 3 s over a link of 5 Mbit/s that carries as much traffic of callers.
+_MAX_ANSWER_S = 6.0
 
 _JSON = {"content-type": "application/json"}
 
 
 class PlatformStore:
-    """Call the store; it answers ``429`` and ``503`` only where nothing was done."""
+    """Call the store.
+
+    The store answers ``429`` and ``503`` only if the call had no effect.
+    """
 
     def __init__(self, address: str) -> None:
         self._caller = HttpCaller(f"http://{address}")
@@ -51,17 +54,17 @@
         deletes: tuple[ExpectedRow, ...] = (),
         timeout_s: float,
     ) -> Done[StoreTimestamp] | Conflict | Refused | Unknown:
-        """Write all or nothing."""
+        """Write all rows or none."""
         document = {
             "ExpectedRevision": [
-                {**_key(row), "ResourceVersion": row.revision}
+                {**_row_key(row), "ResourceVersion": row.revision}
                 for row in expected + deletes
             ],
             "SetKeys": [
-                {**_key(row), "Value": base64.b64encode(row.value).decode()}
+                {**_row_key(row), "Value": base64.b64encode(row.value).decode()}
                 for row in puts
             ],
-            "Remove": [_key(row) for row in deletes],
+            "Remove": [_row_key(row) for row in deletes],
         }
         body = json.dumps(document, separators=(",", ":")).encode()
         answer = await self._caller.call(
@@ -70,21 +73,26 @@
         if not isinstance(answer, HttpResponse):
             return write_failure(answer)
         if answer.status not in (200, 412):
-            return _refused(answer)
+            return _refusal(answer)
         try:
             content = json.loads(answer.body)
             if answer.status == 200:
-                return Done(_moment(content))
-            return Conflict(_rows(content), _moment(content))
+                return Done(_decode_position(content))
+            return Conflict(_decode_rows(content), _decode_position(content))
         except (ValueError, TypeError, KeyError) as error:
-            return Unknown(Reason.ANSWER_LOST, f"not an answer of the store: {error}")
+            return Unknown(
+                Reason.ANSWER_LOST, f"malformed answer of the store: {error}"
+            )
 
     async def list_rows(
         self, table: str, *, timeout_s: float, partition: str = ""
     ) -> Done[Changes] | Refused | Unknown:
-        """Return all rows of a partition; pages after the first may be newer."""
+        """Return all rows of a partition.
+
+        Pages after the first may be newer than the returned revision.
+        """
         rows: list[StoredRow] = []
-        timestamp: StoreTimestamp | None = None
+        position: StoreTimestamp | None = None
         query: dict[str, str] = {"Table": table, "part": partition}
         query["Limit"] = str(_PAGE_ROWS)
         while True:
@@ -92,21 +100,21 @@
             if isinstance(content, (Refused, Unknown)):
                 return content
             try:
-                page = _rows(content)
-                timestamp = timestamp or _moment(content)
+                page = _decode_rows(content)
+                position = position or _decode_position(content)
                 more = bool(content.get("MorePages"))
             except (ValueError, TypeError, KeyError) as error:
-                return Refused(Reason.ANSWER_LOST, f"not a listing: {error}")
+                return Refused(Reason.ANSWER_LOST, f"malformed listing: {error}")
             rows += page
             if not more or not page:
-                # Changes after the first page's moment come with the feed.
-                return Done(Changes(tuple(rows), timestamp))
+                # The feed delivers all changes after the first page's revision.
+                return Done(Changes(tuple(rows), position))
             query["From"] = page[-1].key + "\0"
 
     async def watch(
         self, table: str, after_revision: int, *, wait_s: float, timeout_s: float
     ) -> Done[Changes] | HistoryGone | Refused | Unknown:
-        """Return the changes since a revision, as soon as there is one."""
+        """Return the changes since a revision, as soon as there is at least one."""
         query = {
             "Table": table,
             "AfterRevision": str(after_revision),
@@ -118,9 +126,9 @@
         if isinstance(content, (Refused, Unknown)):
             return content
         try:
-            return Done(Changes(_rows(content), _moment(content)))
+            return Done(Changes(_decode_rows(content), _decode_position(content)))
         except (ValueError, TypeError, KeyError) as error:
-            return Refused(Reason.ANSWER_LOST, f"not a list of changes: {error}")
+            return Refused(Reason.ANSWER_LOST, f"malformed list of changes: {error}")
 
     async def close(self) -> None:
         """Close all connections."""
@@ -133,50 +141,56 @@
             "GET",
             f"{path}?{urlencode(query)}",
             timeout_s=timeout_s,
-            max_total_s=_LONGEST_ANSWER_S,
+            max_total_s=_MAX_ANSWER_S,
         )
         if not isinstance(answer, HttpResponse):
             return read_failure(answer)
         if answer.status == 410:
-            return Refused(Reason.NOT_FOUND, "the history is no longer available")
+            return Refused(
+                Reason.NOT_FOUND, "the store no longer has the history of this revision"
+            )
         if answer.status != 200:
-            return _refused(answer)
+            return _refusal(answer)
         try:
             content = json.loads(answer.body)
         except ValueError as error:
-            return Refused(Reason.ANSWER_LOST, f"not JSON: {error}")
+            return Refused(
+                Reason.ANSWER_LOST, f"answer of the store is not JSON: {error}"
+            )
         if not isinstance(content, dict):
-            return Refused(Reason.ANSWER_LOST, "not an object")
+            return Refused(
+                Reason.ANSWER_LOST, "answer of the store is not a JSON object"
+            )
         return content
 
 
-def _key(row: ExpectedRow | NewRow) -> dict[str, str]:
-    # "part" is the store's name of a partition.
+def _row_key(row: ExpectedRow | NewRow) -> dict[str, str]:
+    # The store calls a partition "part".
     return {"Table": row.table, "part": row.partition, "Key": row.key}
 
 
-def _moment(content: Mapping[str, Any]) -> StoreTimestamp:
+def _decode_position(content: Mapping[str, Any]) -> StoreTimestamp:
     return StoreTimestamp(int(content["ResourceVersion"]), int(content["NowMs"]))
 
 
-def _rows(content: Mapping[str, Any]) -> tuple[StoredRow, ...]:
-    found = []
+def _decode_rows(content: Mapping[str, Any]) -> tuple[StoredRow, ...]:
+    rows = []
     for row in content["Rows"]:
         deleted = bool(row.get("Tombstone"))
-        decoded = _decoded(row.get("Value") or "")
-        # An absent row of a conflict has the revision 0.
+        decoded = _decode_value(row.get("Value") or "")
+        # A row that is missing in a conflict has the revision 0.
         revision = int(row.get("ResourceVersion") or 0)
         deleted = deleted or revision == 0
-        found.append(StoredRow(row["Table"], row["Key"], decoded, revision, deleted))
-    return tuple(found)
+        rows.append(StoredRow(row["Table"], row["Key"], decoded, revision, deleted))
+    return tuple(rows)
 
 
-def _decoded(value: Any) -> bytes:
-    """Return a row's bytes, none where they cannot be read.
+def _decode_value(value: Any) -> bytes:
+    """Return a row's bytes, or no bytes if they cannot be decoded.
 
-    Other writers' rows stand in the same tables. Their readers say of an empty row
-    that it does not decode; to fail the listing here would take all other rows away
-    with it, and a router that starts then would never know a target.
+    The tables also hold rows of other writers. The reader of a table rejects an empty
+    row on its own. If the listing failed instead, all other rows would be lost with it,
+    and a router that starts then would never learn of any target.
     """
     try:
         return base64.b64decode(value, validate=True)
@@ -184,7 +198,7 @@
         return b""
 
 
-def _refused(answer: HttpResponse) -> Refused:
+def _refusal(answer: HttpResponse) -> Refused:
     reason = Reason.THROTTLED if answer.status == 429 else Reason.UNREACHABLE
     detail = f"the store answered {answer.status}"
     return Refused(reason, detail, answer.retry_after_s())
--- a/src/endivegw/platform/wire.py
+++ b/src/endivegw/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's header fields."""
+"""Codec of the platform's header fields."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 _EXPECTED_INSTANCE = b"endivegw-expect-instance"
 _ACCOUNT = b"endivegw-tenant"
 _PRIORITY = b"endivegw-request-priority"
-#: Engines call the cached tokens of a prompt its keys and values.
+#: "kv" stands for keys and values, the cached state of a prompt's tokens.
 _COPY_FROM = b"kv-fetch"
 _NOT_RUN = b"endivegw-not-executed"
 _LEAVING = b"server-leaving"
@@ -28,8 +28,8 @@
 _LAST_EVENT = b"last-event-id"
 _AUTHORIZATION = b"authorization"
 
-#: Fields that the router alone sets; what a caller sends under these names would
-#: let it reserve engine memory, jump the queue or pose as another account.
+#: Fields that only the router may set. A caller that sent them could reserve engine
+#: memory, bypass the queue or impersonate another account.
 _RESERVED = frozenset(
     {
         _DEADLINE,
@@ -49,13 +49,13 @@
     }
 )
 
-#: Status of a target at whose address another instance answers now.
+#: Status that is returned if another instance now listens at the target's address.
 _MISDIRECTED = 421
 
-#: Longer pauses are cut to this: a day, which few starts of a target live for.
-_LONGEST_PAUSE_S = 86_400.0
+#: Upper limit of requested pauses. Few target instances live for a day.
+_MAX_PAUSE_S = 86_400.0
 
-#: Status by which a target turns a request away; it may say for how long.
+#: Status with which a target rejects a request, optionally with a Retry-After field.
 _UNAVAILABLE = 503
 
 
@@ -63,18 +63,18 @@
     """Read and write the platform's header fields."""
 
     def read_caller_fields(self, fields: HeaderFields) -> CallerMetadata | Refused:
-        """Return what a request says; refused where a field is malformed."""
+        """Return a request's metadata, or a refusal if a field is malformed."""
         found = dict(fields)
         try:
-            counts = _counts(found.get(_TOKEN_COUNTS))
+            counts = _parse_token_counts(found.get(_TOKEN_COUNTS))
             return CallerMetadata(
-                request_id=_text(found.get(_ATTEMPT_ID)),
-                key=_key(found.get(_AUTHORIZATION)),
-                deadline_s=_seconds(found.get(_DEADLINE)),
+                request_id=_decode_text(found.get(_ATTEMPT_ID)),
+                key=_parse_key(found.get(_AUTHORIZATION)),
+                deadline_s=_parse_milliseconds(found.get(_DEADLINE)),
                 prompt_tokens=counts[0] if counts else None,
                 max_output_tokens=counts[1] if counts else 0,
-                parts=_parts(found.get(_PROMPT_PARTS)),
-                resume_after=_whole(found.get(_LAST_EVENT)),
+                parts=_parse_prompt_parts(found.get(_PROMPT_PARTS)),
+                resume_after=_parse_integer(found.get(_LAST_EVENT)),
             )
         except ValueError as error:
             return Refused(Reason.BAD_REQUEST, f"malformed header field: {error}")
@@ -82,10 +82,10 @@
     def write_target_fields(
         self, fields: HeaderFields, metadata: SendMetadata
     ) -> HeaderFields:
-        """Return the fields for a target: the caller's own and those added."""
+        """Return the fields for a target: those of the caller and the router's own."""
         sent = [(name, value) for name, value in fields if name not in _RESERVED]
-        left_ms = max(1, int(metadata.deadline_s * 1000))
-        sent.append((_DEADLINE, str(left_ms).encode()))
+        remaining_ms = max(1, int(metadata.deadline_s * 1000))
+        sent.append((_DEADLINE, str(remaining_ms).encode()))
         sent.append((_EXPECTED_INSTANCE, metadata.instance_id.encode()))
         if metadata.client_account is not None:
             sent.append((_ACCOUNT, metadata.client_account.encode()))
@@ -98,64 +98,64 @@
         return sent
 
     def read_answer_fields(self, status: int, fields: HeaderFields) -> AnswerMetadata:
-        """Return what an answer says."""
+        """Return the metadata of an answer."""
         found = dict(fields)
         replaced = status == _MISDIRECTED
         not_run = _NOT_RUN in found or replaced
-        # Another instance speaks for itself, not for the one that was meant.
+        # An answer of another instance says nothing about the intended instance.
         leaving = found.get(_LEAVING, b"").strip() == b"1" and not replaced
         pause_s = None
         if status == _UNAVAILABLE:
-            pause_s = _pause_s(found.get(_RETRY_AFTER))
-        request_id = _text(found.get(_ATTEMPT_ID))
+            pause_s = _parse_pause_s(found.get(_RETRY_AFTER))
+        request_id = _decode_text(found.get(_ATTEMPT_ID))
         return AnswerMetadata(request_id, not_run, replaced, leaving, pause_s)
 
     def router_answer_fields(self, request_id: str | None) -> HeaderFields:
-        """Return the fields that an answer of the router itself carries."""
+        """Return the fields of an answer that the router generates itself."""
         if request_id is None:
             return []
         return [(_ATTEMPT_ID, request_id.encode("latin-1"))]
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_text(value: bytes | None) -> str | None:
     return None if value is None else value.decode("latin-1")
 
 
-def _whole(value: bytes | None) -> int | None:
+def _parse_integer(value: bytes | None) -> int | None:
     return None if value is None else int(value)
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _parse_milliseconds(value: bytes | None) -> float | None:
     return None if value is None else int(value) / 1000.0
 
 
-def _pause_s(value: bytes | None) -> float | None:
-    """Return the seconds of a field; None where it holds no time to wait."""
+def _parse_pause_s(value: bytes | None) -> float | None:
+    """Return the seconds of a field, or None if it holds no positive number."""
     try:
         found = float(value or b"")
     except ValueError:
         return None
-    return min(found, _LONGEST_PAUSE_S) if found > 0.0 else None
+    return min(found, _MAX_PAUSE_S) if found > 0.0 else None
 
 
-def _key(value: bytes | None) -> str | None:
+def _parse_key(value: bytes | None) -> str | None:
     scheme, _, key = (value or b"").partition(b" ")
     if scheme.lower() != b"bearer" or not key.strip():
         return None
     return key.strip().decode("latin-1")
 
 
-def _counts(value: bytes | None) -> tuple[int, int] | None:
+def _parse_token_counts(value: bytes | None) -> tuple[int, int] | None:
     if value is None:
         return None
     prompt, _, output = value.partition(b",")
     counts = int(prompt), int(output)
     if min(counts) < 0:
-        raise ValueError("token counts below 0")
+        raise ValueError(f"negative token count in {value!r}")
     return counts
 
 
-def _parts(value: bytes | None) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(value: bytes | None) -> tuple[PromptPart, ...]:
     if not value:
         return ()
     found = []
--- a/src/endivegw_standins/__init__.py
+++ b/src/endivegw_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for what stands outside: the platform, engines and services.
+"""Small stand-ins for external systems: the platform, engines and services.
 
-They are for development and tests; no daemon of the product imports them.
+They are for development and tests only. No daemon of the product imports them.
 """
--- a/src/endivegw_standins/asgi.py
+++ b/src/endivegw_standins/asgi.py
@@ -1,4 +1,4 @@
-"""Small steps of ASGI that the stand-ins share."""
+"""ASGI helpers that the stand-ins share."""
 
 from __future__ import annotations
 
@@ -13,19 +13,21 @@
 
 
 async def read_body(receive: Receive) -> bytes:
-    """Return the whole body of a request."""
+    """Return the complete body of a request."""
     parts: list[bytes] = []
     while True:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise ConnectionError("the caller went away")
+            raise ConnectionError(
+                "client disconnected before the end of the request body"
+            )
         parts.append(message.get("body", b""))
         if not message.get("more_body", False):
             return b"".join(parts)
 
 
 async def send_json(send: Send, status: int, value: object) -> None:
-    """Answer with one JSON value."""
+    """Send a response with a JSON value."""
     body = json.dumps(value).encode()
     fields = [
         (b"content-type", b"application/json"),
@@ -36,7 +38,7 @@
 
 
 def header(scope: Scope, name: bytes) -> str:
-    """Return a header field of a request, "" where it is absent."""
+    """Return a header field of a request, or "" if it is absent."""
     for key, value in scope["headers"]:
         if key == name:
             return str(value.decode("latin-1"))
--- a/src/endivegw_standins/engine_app.py
+++ b/src/endivegw_standins/engine_app.py
@@ -1,4 +1,4 @@
-"""HTTP front of the stand-in engine, as an ASGI application."""
+"""HTTP interface of the stand-in engine, as an ASGI application."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from endivegw_standins.engine_model import (
     AppliedOrder,
     Consumed,
-    EngineKnobs,
+    EngineOptions,
     FakeEngine,
     Generation,
     StaleFence,
@@ -24,7 +24,7 @@
     "AppliedOrder",
     "Consumed",
     "EngineApp",
-    "EngineKnobs",
+    "EngineOptions",
     "FakeEngine",
     "answer_text",
 ]
@@ -32,25 +32,28 @@
 _GENERATE_PATHS = {"/v1/chat/completions": True, "/v1/completions": False}
 
 
-class _Broken(Exception):
-    """Cut the connection in the middle of an answer, on purpose."""
+class _ConnectionBroken(Exception):
+    """Raised to break the connection in the middle of an answer."""
 
 
 class EngineApp:
-    """Serve one stand-in engine over HTTP; it needs lifespan events."""
+    """Serve one stand-in engine over HTTP.
+
+    The server must send lifespan events.
+    """
 
     def __init__(self, engine: FakeEngine) -> None:
         self.engine = engine
         self._tasks: TaskGroup | None = None
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one connection event."""
+        """Handle one ASGI connection."""
         if scope["type"] == "lifespan":
-            await self._live(receive, send)
+            await self._run_lifespan(receive, send)
         elif scope["type"] == "http":
-            await self._answer(scope, receive, send)
+            await self._handle_request(scope, receive, send)
 
-    async def _live(self, receive: Receive, send: Send) -> None:
+    async def _run_lifespan(self, receive: Receive, send: Send) -> None:
         await receive()
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -59,7 +62,7 @@
             tasks.cancel_scope.cancel()
         await send({"type": "lifespan.shutdown.complete"})
 
-    async def _answer(self, scope: Scope, receive: Receive, send: Send) -> None:
+    async def _handle_request(self, scope: Scope, receive: Receive, send: Send) -> None:
         path = scope["path"]
         parts = path.strip("/").split("/")
         try:
@@ -86,7 +89,7 @@
         self, scope: Scope, receive: Receive, send: Send, *, chat: bool
     ) -> None:
         body = await read_body(receive)
-        if self.engine.knobs.fail_fast:
+        if self.engine.options.fail_fast:
             await send_json(send, 503, _error("no capacity"))
             return
         try:
@@ -98,11 +101,11 @@
             await send_json(send, 404, _error(f"model {prompt.model} is not loaded"))
             return
         assert self._tasks is not None, "the application needs lifespan events"
-        ended_by = self.engine.knobs.ended_by
-        if ended_by is not None and ended_by in prompt.text:
-            self.engine.end()
+        crash_trigger = self.engine.options.crash_trigger
+        if crash_trigger is not None and crash_trigger in prompt.text:
+            self.engine.crash()
             await send({"type": "http.response.start", "status": 200, "headers": []})
-            raise _Broken("the process of the stand-in ended")
+            raise _ConnectionBroken("simulated crash of the engine")
         generation = self.engine.open(header(scope, b"x-request-id"), prompt)
         self._tasks.start_soon(self.engine.run, generation)
         await self._stream(generation, 0, receive, send, may_break=True)
@@ -146,40 +149,42 @@
         *,
         may_break: bool,
     ) -> None:
-        """Send the answer's chunks until it is whole or the reader leaves."""
+        """Send the answer's chunks until it is complete or the client disconnects."""
         assert self._tasks is not None
         generation.readers += 1
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_until_disconnect, receive, tasks.cancel_scope)
+                tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
                 await self._send_chunks(generation, after, send, may_break=may_break)
                 tasks.cancel_scope.cancel()
         finally:
             generation.readers -= 1
-            if generation.readers == 0 and not generation.whole:
-                self._tasks.start_soon(self.engine.abandon, generation)
+            if generation.readers == 0 and not generation.complete:
+                self._tasks.start_soon(self.engine.cancel_unread, generation)
 
     async def _send_chunks(
         self, generation: Generation, after: int, send: Send, *, may_break: bool
     ) -> None:
         fields = [(b"content-type", b"text/event-stream")]
         await send({"type": "http.response.start", "status": 200, "headers": fields})
-        limit = self.engine.knobs.break_after_pieces if may_break else None
+        limit = self.engine.options.break_after_pieces if may_break else None
         sent = after
         while True:
             changed = generation.changed
-            ready = generation.chunks[sent:]
-            for data in ready:
+            pending = generation.chunks[sent:]
+            for data in pending:
                 if limit is not None and sent >= limit:
-                    raise _Broken("cut by a knob of the stand-in")
+                    raise _ConnectionBroken(
+                        f"simulated connection failure after {limit} pieces"
+                    )
                 await send(_event(data))
                 sent += 1
             if sent < len(generation.chunks):
                 continue
-            if generation.whole or generation.cancelled:
+            if generation.complete or generation.cancelled:
                 break
             await changed.wait()
-        if generation.whole:
+        if generation.complete:
             await send(_event("[DONE]"))
         else:
             await send(_event(json.dumps(_error("cancelled"))))
@@ -194,7 +199,7 @@
     }
 
 
-async def _until_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
     while (await receive())["type"] != "http.disconnect":
         pass
     scope.cancel()
--- a/src/endivegw_standins/engine_chunks.py
+++ b/src/endivegw_standins/engine_chunks.py
@@ -11,7 +11,7 @@
 
 
 class ChunkSource(Protocol):
-    """What chunks are made from."""
+    """Data of a generation from which chunks are built."""
 
     attempt_id: str
     prompt: Prompt
@@ -19,7 +19,7 @@
 
 
 def text_chunk(generation: ChunkSource, piece: str, reason: str | None) -> str:
-    """Return the chunk of one piece, or of the end where a reason is given."""
+    """Return the chunk of one piece, or the final chunk if a reason is given."""
     choice: dict[str, object] = {"index": 0, "finish_reason": reason}
     if generation.prompt.chat:
         choice["delta"] = {"content": piece} if piece else {}
@@ -29,7 +29,7 @@
 
 
 def usage_chunk(generation: ChunkSource) -> str:
-    """Return the chunk that tells what the answer consumed."""
+    """Return the chunk with the token usage of the answer."""
     completion_tokens = len(generation.chunks) - 1
     usage = {
         "prompt_tokens": generation.prompt.tokens,
--- a/src/endivegw_standins/engine_text.py
+++ b/src/endivegw_standins/engine_text.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's answers: they depend on the prompt alone."""
+"""Answers of the stand-in engine, which depend on the prompt alone."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 __all__ = ["Prompt", "answer_pieces", "answer_text", "read_prompt"]
 
-#: A prompt that holds ``len=N`` gets an answer of N pieces.
+#: A prompt that contains ``len=N`` gets an answer of N pieces.
 _LENGTH = re.compile(r"\blen=(\d+)\b")
 
-#: Words of a prompt that share one block of the prefix cache.
+#: Number of words per block of the prefix cache.
 PREFIX_BLOCK_WORDS = 16
 
 
 @frozen
 class Prompt:
-    """Hold what the engine reads of one request.
+    """Fields of a request that the engine uses.
 
-    :param text: the whole prompt; each word counts as one token.
-    :param max_tokens: where the answer is cut.
+    :param text: the complete prompt; each word counts as one token.
+    :param max_tokens: length at which the answer is truncated.
     """
 
     text: str
@@ -34,11 +34,11 @@
 
     @property
     def tokens(self) -> int:
-        """Return the size of the prompt."""
+        """Return the number of prompt tokens."""
         return max(1, len(self.text.split()))
 
     def prefix_digests(self) -> list[bytes]:
-        """Return one digest for each whole block of the prompt, from its start."""
+        """Return the digest of each prefix that ends with a complete block."""
         words = self.text.split()
         ends = range(PREFIX_BLOCK_WORDS, len(words) + 1, PREFIX_BLOCK_WORDS)
         return [
@@ -47,7 +47,11 @@
 
 
 def read_prompt(body: bytes, *, chat: bool) -> Prompt:
-    """Return the prompt of a completions request; ValueError for a bad one."""
+    """Parse the prompt of a completions request.
+
+    :raises ValueError: if the body is not JSON or a number is malformed.
+    :raises KeyError: if a field is missing.
+    """
     fields: dict[str, Any] = json.loads(body)
     if chat:
         text = " ".join(str(message["content"]) for message in fields["messages"])
@@ -59,7 +63,7 @@
 
 
 def answer_pieces(text: str) -> list[str]:
-    """Return the uncut answer to a prompt, one piece for each token."""
+    """Return the untruncated answer to a prompt, one piece per token."""
     digest = hashlib.sha256(text.encode()).hexdigest()
     match = _LENGTH.search(text)
     length = int(match.group(1)) if match else 4 + int(digest[:2], 16) % 29
@@ -67,5 +71,5 @@
 
 
 def answer_text(text: str, max_tokens: int) -> str:
-    """Return the whole answer that a caller must get, for tests to compare."""
+    """Return the complete answer that a caller must get, for comparison in tests."""
     return "".join(answer_pieces(text)[:max_tokens])
--- a/src/endivegw_standins/http_exchange.py
+++ b/src/endivegw_standins/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange of a stand-in, on top of the ASGI interface."""
+"""HTTP responses of the stand-ins, on top of the ASGI interface."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @frozen
 class Reply:
-    """Hold one whole answer.
+    """A complete HTTP response.
 
-    :param length: the length to announce without a body, for HEAD.
+    :param length: Content-Length of a response without a body, for HEAD.
     """
 
     status: int
@@ -26,13 +26,13 @@
 
 
 def json_reply(status: int, value: object, **fields: str) -> Reply:
-    """Return an answer that carries JSON."""
+    """Return a response with a JSON body."""
     body = json.dumps(value, separators=(",", ":")).encode()
     return Reply(status, body, {"content-type": "application/json", **fields})
 
 
 async def send_reply(send: Send, reply: Reply) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     length = len(reply.body) if reply.length is None else reply.length
     fields = {"content-length": str(length), **reply.fields}
     headers = [(name.encode(), value.encode()) for name, value in fields.items()]
--- a/src/endivegw_standins/platform_app.py
+++ b/src/endivegw_standins/platform_app.py
@@ -1,8 +1,8 @@
-"""The stand-in platform: table, objects, VM list and weights in one ASGI app.
+"""Stand-in platform: table, objects, vm list and weights in one ASGI application.
 
-Paths: ``/table`` speaks the DynamoDB JSON interface, ``/objects/NAME`` the S3
-REST interface, ``/vms`` returns the list of virtual machines, and
-``/weights/NAME`` answers GET and HEAD at a limited rate.
+Paths: ``/table`` implements the DynamoDB JSON interface, ``/objects/NAME`` the S3
+REST interface, ``/vms`` returns the list of virtual machines, and ``/weights/NAME``
+answers GET and HEAD at a limited rate.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 
 @define
 class StandinPlatform:
-    """Be the platform's services for tests and for ``endivegw dev``.
+    """Platform services for tests and for ``endivegw dev``.
 
     :ivar weight_sizes_bytes: size of each model's weights by name.
-    :ivar weight_calls_per_s: calls of the weight store answered each second;
-        the others get 429.
+    :ivar weight_calls_per_s: maximum rate of calls to the weight store; calls beyond
+        it are answered with 429.
     """
 
     table: MemoryTable = field(factory=MemoryTable)
@@ -46,7 +46,7 @@
     weight_sizes_bytes: dict[str, int] = field(factory=dict)
     weight_calls_per_s: float = 10.0
     faults: PlatformFaults = field(factory=PlatformFaults)
-    _weights_free_at_s: float = 0.0
+    _weights_available_at_s: float = 0.0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one HTTP exchange."""
@@ -54,7 +54,7 @@
             return
         body = await read_body(receive)
         service, _, name = unquote(scope["path"]).lstrip("/").partition("/")
-        faults = self._faults_of(service)
+        faults = self._service_faults(service)
         if faults is None:
             await send_reply(send, Reply(404))
             return
@@ -62,19 +62,19 @@
         address = scope["client"][0] if scope.get("client") else ""
         if faults.latency_s:
             await anyio.sleep(faults.latency_s)
-        if faults.swallows(headers.get("user-agent", ""), address):
-            await _stay_silent(receive)
+        if faults.drops_calls_of(headers.get("user-agent", ""), address):
+            await _wait_for_disconnect(receive)
             return
         if faults.outage:
             await send_reply(send, Reply(503))
             return
-        reply = self._answer(service, scope["method"], name, headers, body)
+        reply = self._dispatch(service, scope["method"], name, headers, body)
         if _is_write(scope["method"], headers) and faults.loses_answer():
-            await _stay_silent(receive)
+            await _wait_for_disconnect(receive)
             return
         await send_reply(send, reply)
 
-    def _faults_of(self, service: str) -> Faults | None:
+    def _service_faults(self, service: str) -> Faults | None:
         match service:
             case "table":
                 return self.faults.table
@@ -86,7 +86,7 @@
                 return self.faults.weights
         return None
 
-    def _answer(
+    def _dispatch(
         self, service: str, method: str, name: str, headers: dict[str, str], body: bytes
     ) -> Reply:
         match service, method:
@@ -100,27 +100,27 @@
                     name, body, headers.get("if-match"), headers.get("if-none-match")
                 )
             case "vms", "GET":
-                return json_reply(200, {"vms": [_vm_line(vm) for vm in self.vms]})
+                return json_reply(200, {"vms": [_vm_entry(vm) for vm in self.vms]})
             case "weights", "GET" | "HEAD":
-                return self._weights(name, method)
+                return self._weights_reply(name, method)
         return Reply(405)
 
-    def _weights(self, name: str, method: str) -> Reply:
+    def _weights_reply(self, name: str, method: str) -> Reply:
         now_s = time.monotonic()
-        if now_s < self._weights_free_at_s:
-            wait_s = self._weights_free_at_s - now_s
+        if now_s < self._weights_available_at_s:
+            wait_s = self._weights_available_at_s - now_s
             return Reply(429, b"", {"retry-after": f"{wait_s:.3f}"})
-        self._weights_free_at_s = now_s + 1 / self.weight_calls_per_s
+        self._weights_available_at_s = now_s + 1 / self.weight_calls_per_s
         size = self.weight_sizes_bytes.get(name)
         if size is None:
             return Reply(404)
         if method == "HEAD":
             return Reply(200, b"", length=size)
-        # The weights themselves are only their size here; engines fetch them.
+        # Only the size is returned; engines download the weights themselves.
         return json_reply(200, {"name": name, "size_bytes": size})
 
 
-def _vm_line(vm: ListedVm) -> dict[str, str]:
+def _vm_entry(vm: ListedVm) -> dict[str, str]:
     return {
         "vm": vm.vm,
         "address": vm.address,
@@ -136,7 +136,7 @@
     return headers.get("x-amz-target", "").rpartition(".")[2] in WRITE_ACTIONS
 
 
-async def _stay_silent(receive: Receive) -> None:
-    """Answer nothing until the caller hangs up."""
+async def _wait_for_disconnect(receive: Receive) -> None:
+    """Wait without answering until the client disconnects."""
     while (await receive())["type"] != "http.disconnect":
         pass
--- a/src/endivegw_standins/platform_fleet.py
+++ b/src/endivegw_standins/platform_fleet.py
@@ -1,6 +1,6 @@
 """Routers, targets and a store on loopback, in one process.
 
-Tests play callers against it, and ``endivegw dev --platform`` lets a newcomer do so.
+Used by tests and by ``endivegw dev --platform``.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     "CONFIGURATION",
     "PREPAID",
     "PlatformFleet",
-    "curl_line",
+    "curl_command",
     "run_platform_fleet",
     "serve_asgi_on_loopback",
 ]
@@ -66,7 +66,7 @@
 
 @define
 class PlatformFleet:
-    """Hold the parts of one fleet; ports are those of the routers, in order."""
+    """Parts of one fleet; the ports are listed in the order of the routers."""
 
     store: PlatformStoreApp = field(factory=PlatformStoreApp)
     workers: dict[str, PlatformWorker] = field(factory=dict)
@@ -78,35 +78,40 @@
     row_lasts_s: float = 20.0
     tasks: TaskGroup | None = None
     _scopes: list[anyio.CancelScope] = field(factory=list)
-    _gone: int = 0
+    _removed_count: int = 0
 
     def start_router(self) -> None:
-        """Start one more router, on a vm of its own."""
+        """Start another router on a new vm."""
         assert self.tasks is not None
-        _build_router(self, f"vm-{self._gone + len(self.routers)}", self.store_port)
+        _build_router(
+            self, f"vm-{self._removed_count + len(self.routers)}", self.store_port
+        )
         self._scopes.append(anyio.CancelScope())
         self.tasks.start_soon(self._run_router, self.routers[-1], self._scopes[-1])
 
     async def wait_ready(self) -> None:
-        """Wait until every router takes callers."""
+        """Wait until every router accepts callers."""
         with anyio.fail_after(10):
             while not self.ready:
                 await anyio.sleep(0.05)
 
     def kill_router(self, number: int) -> None:
-        """End one router without a word; its vm never comes back."""
+        """Cancel one router without a graceful shutdown; its vm is never reused."""
         self._scopes.pop(number).cancel()
-        for listed in (self.ports, self.ready_ports, self.metrics_ports, self.routers):
-            del listed[number]
-        self._gone += 1
+        for values in (self.ports, self.ready_ports, self.metrics_ports, self.routers):
+            del values[number]
+        self._removed_count += 1
 
     def kill_routers(self) -> None:
-        """End all routers at once, without a word; later ones get other ports."""
+        """Cancel all routers without a graceful shutdown.
+
+        Routers that are started later get new ports.
+        """
         for scope in self._scopes:
             scope.cancel()
-        for listed in (self.ports, self.ready_ports, self.metrics_ports):
-            listed.clear()
-        self._gone += len(self.routers)
+        for values in (self.ports, self.ready_ports, self.metrics_ports):
+            values.clear()
+        self._removed_count += len(self.routers)
         self.routers.clear()
         self._scopes.clear()
 
@@ -116,12 +121,12 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether every router takes callers."""
+        """Return whether every router accepts callers."""
         return all(router.ready for router in self.routers)
 
 
-def curl_line(port: int) -> str:
-    """Return a command that asks a router for a stream."""
+def curl_command(port: int) -> str:
+    """Return a curl command that requests a stream from a router."""
     return (
         "curl -N -H 'Host: h.example' -H 'Authorization: Bearer key-1' "
         "-H 'Endivegw-Attempt-Id: try-1' -H 'Endivegw-Token-Counts: 100,40' "
@@ -130,7 +135,7 @@
 
 
 def _build_router(fleet: PlatformFleet, name: str, store_port: int) -> None:
-    """Add a router whose settings come from a file, as in production."""
+    """Add a router whose settings are read from a file, as in production."""
     port, ready, metrics = (reserve_port() for _ in range(3))
     peers = reserve_datagram_port()
     text = (
@@ -157,11 +162,11 @@
 async def run_platform_fleet(
     fleet: PlatformFleet, routers: int, engines: int = 2
 ) -> AsyncIterator[None]:
-    """Run a fleet; entered once every router is ready."""
+    """Run a fleet; yield when every router is ready."""
     async with anyio.create_task_group() as tasks:
         _, store_port = await tasks.start(serve_asgi_on_loopback, fleet.store)
-        named = [(f"e-{number + 1}", "engine") for number in range(engines)]
-        for name, service in [*named, ("p-1", "plain")]:
+        targets = [(f"e-{number + 1}", "engine") for number in range(engines)]
+        for name, service in [*targets, ("p-1", "plain")]:
             worker = fleet.workers[name] = PlatformWorker(name)
             target = PlatformTarget(name, service, worker)
             tasks.start_soon(target.run, fleet.store)
@@ -178,5 +183,5 @@
 async def serve_asgi_on_loopback(
     app: PlatformStoreApp, *, task_status: anyio.abc.TaskStatus[Any]
 ) -> None:
-    """Serve the store's stand-in on a free port."""
+    """Serve the stand-in store on a free port."""
     await serve_asgi(app, "127.0.0.1", 0, graceful_s=0, task_status=task_status)
--- a/src/endivegw_standins/platform_store_app.py
+++ b/src/endivegw_standins/platform_store_app.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform's store: rows, conditions, a feed, outages."""
+"""Small stand-in for the platform's store with conditional writes and a feed."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 __all__ = ["PlatformStoreApp"]
 
-#: Of one transaction.
-_MOST_ENTRIES = 100
+#: Maximum number of entries of one transaction.
+_MAX_ENTRIES = 100
 
 
 @define
@@ -29,25 +29,25 @@
 class PlatformStoreApp:
     """Serve the store's calls as an ASGI application.
 
-    :ivar down: whether every call is answered 503.
-    :ivar unread: tables whose reads are answered 503.
-    :ivar lost_answers: how many writes from now on take effect without an answer.
+    :ivar down: whether every call is answered with 503.
+    :ivar unreadable_tables: tables whose reads are answered with 503.
+    :ivar lost_answers: number of next writes that take effect without an answer.
     """
 
     down: bool = False
-    unread: set[str] = field(factory=set)
+    unreadable_tables: set[str] = field(factory=set)
     lost_answers: int = 0
     revision: int = 0
     _rows: dict[tuple[str, str], _Row] = field(factory=dict)
     _changed: anyio.Event | None = None
 
     def put(self, table: str, key: str, document: Any) -> None:
-        """Write a row as the operator or a target does."""
-        self._set(table, key, _encoded(document))
+        """Write a row, like the operator or a target."""
+        self._set(table, key, _encode_value(document))
         self._wake()
 
     def drop(self, table: str, key: str) -> None:
-        """Delete a row as the operator or a target does."""
+        """Delete a row, like the operator or a target."""
         self.revision += 1
         self._rows[table, key] = _Row("", self.revision, deleted=True)
         self._wake()
@@ -55,21 +55,21 @@
     def documents(self, table: str) -> dict[str, Any]:
         """Return a table's rows, decoded."""
         return {
-            key: json.loads(_decoded(row.value))
-            for (of, key), row in self._rows.items()
-            if of == table and not row.deleted
+            key: json.loads(_decode_value(row.value))
+            for (row_table, key), row in self._rows.items()
+            if row_table == table and not row.deleted
         }
 
     def partitions(self, table: str) -> dict[str, str]:
         """Return the partition of each row of a table."""
         return {
             key: row.part
-            for (of, key), row in self._rows.items()
-            if of == table and not row.deleted
+            for (row_table, key), row in self._rows.items()
+            if row_table == table and not row.deleted
         }
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one call."""
+        """Handle one HTTP request."""
         body = b""
         while True:
             message = await receive()
@@ -80,7 +80,7 @@
         document: dict[str, Any] = {}
         lost = False
         query = {k: v[0] for k, v in parse_qs(scope["query_string"].decode()).items()}
-        if not self.down and query.get("Table") not in self.unread:
+        if not self.down and query.get("Table") not in self.unreadable_tables:
             match scope["path"]:
                 case "/rows-tx":
                     status, document = self._transact(json.loads(body))
@@ -102,15 +102,15 @@
 
     def _transact(self, call: dict[str, Any]) -> tuple[int, dict[str, Any]]:
         expected = call["ExpectedRevision"]
-        if len(expected) + len(call["SetKeys"]) + len(call["Remove"]) > _MOST_ENTRIES:
+        if len(expected) + len(call["SetKeys"]) + len(call["Remove"]) > _MAX_ENTRIES:
             return 400, {"Error": "too many entries"}
         for row in expected:
-            known = self._rows.get((row["Table"], row["Key"]))
-            revision = known.revision if known and not known.deleted else 0
+            current = self._rows.get((row["Table"], row["Key"]))
+            revision = current.revision if current and not current.deleted else 0
             if revision != row["ResourceVersion"]:
                 keys = [(row["Table"], row["Key"]) for row in expected]
                 found = [self._row(key) for key in keys if key in self._rows]
-                return 412, self._moment(found)
+                return 412, self._response(found)
         self.revision += 1
         for row in call["SetKeys"]:
             key = (row["Table"], row["Key"])
@@ -118,7 +118,7 @@
         for row in call["Remove"]:
             self._rows[row["Table"], row["Key"]] = _Row("", self.revision, True)
         self._wake()
-        return 200, self._moment(None)
+        return 200, self._response(None)
 
     def _listing(self, query: dict[str, str]) -> dict[str, Any]:
         keys = sorted(
@@ -127,7 +127,7 @@
             if key[0] == query["Table"] and not row.deleted
             if row.part == query.get("part", "")
         )
-        return {**self._moment([self._row(key) for key in keys]), "MorePages": False}
+        return {**self._response([self._row(key) for key in keys]), "MorePages": False}
 
     async def _feed(self, query: dict[str, str]) -> dict[str, Any]:
         after = int(query["AfterRevision"])
@@ -143,7 +143,7 @@
                 if self._changed is None:
                     self._changed = anyio.Event()
                 await self._changed.wait()
-        return self._moment([self._row(key) for _, key in sorted(rows)])
+        return self._response([self._row(key) for _, key in sorted(rows)])
 
     def _set(self, table: str, key: str, value: str) -> None:
         self.revision += 1
@@ -156,12 +156,12 @@
             return {**found, "Tombstone": True, "ResourceVersion": row.revision}
         return {**found, "Value": row.value, "ResourceVersion": row.revision}
 
-    def _moment(self, rows: list[dict[str, Any]] | None) -> dict[str, Any]:
+    def _response(self, rows: list[dict[str, Any]] | None) -> dict[str, Any]:
         now_ms = int(time.monotonic() * 1000)
-        moment: dict[str, Any] = {"ResourceVersion": self.revision, "NowMs": now_ms}
+        document: dict[str, Any] = {"ResourceVersion": self.revision, "NowMs": now_ms}
         if rows is not None:
-            moment["Rows"] = rows
-        return moment
+            document["Rows"] = rows
+        return document
 
     def _wake(self) -> None:
         if self._changed is not None:
@@ -169,9 +169,9 @@
             self._changed = None
 
 
-def _encoded(document: Any) -> str:
+def _encode_value(document: Any) -> str:
     return base64.b64encode(json.dumps(document).encode()).decode()
 
 
-def _decoded(value: str) -> bytes:
+def _decode_value(value: str) -> bytes:
     return base64.b64decode(value)
--- a/src/endivegw_standins/platform_target.py
+++ b/src/endivegw_standins/platform_target.py
@@ -1,4 +1,4 @@
-"""A worker of the platform as a process would be: it ends, and starts again."""
+"""Simulated target process of the platform, which terminates and restarts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 _SLOTS = 8
 
-#: What every target's entry says beside its service and address.
+#: Fields that all entries of targets have in common.
 TARGET_ENTRY = {
     "Version": "v1",
     "Slots": _SLOTS,
@@ -25,18 +25,19 @@
 
 @define
 class PlatformTarget:
-    """Run one worker, start after start; each registers under an id of its own.
+    """Run one worker and restart it; each incarnation registers under its own id.
 
-    :ivar back_s: how long nobody listens after the worker has ended. The entry of
-        the start that ended stays in the store for as long.
-    :ivar starts: how often the worker has started.
+    :ivar restart_delay_s: time between the end of an incarnation and the removal of
+        its entry from the store. The port is closed meanwhile; the next incarnation
+        starts afterwards.
+    :ivar starts: number of starts so far.
     """
 
     name: str
     service: str
     worker: PlatformWorker
     port: int = field(factory=reserve_port)
-    back_s: float = 0.3
+    restart_delay_s: float = 0.3
     starts: int = 0
 
     async def run(
@@ -48,7 +49,7 @@
     ) -> None:
         """Serve until cancelled.
 
-        :param address: where others reach it; None for its own port.
+        :param address: address to register; None for the target's own port.
         """
         entry = {
             **TARGET_ENTRY,
@@ -60,22 +61,22 @@
         while True:
             self.starts += 1
             name = self.name if self.starts == 1 else f"{self.name}.{self.starts}"
-            await self._serve_one_start(store, name, entry)
-            await anyio.sleep(self.back_s)
+            await self._serve_incarnation(store, name, entry)
+            await anyio.sleep(self.restart_delay_s)
             store.drop("servers", name)
 
-    async def _serve_one_start(
+    async def _serve_incarnation(
         self, store: PlatformStoreApp, name: str, entry: dict[str, object]
     ) -> None:
         self.worker.instance_id = name
-        # That the earlier start was leaving says nothing of this one.
+        # The state of the previous incarnation does not apply to this one.
         self.worker.leaving = False
-        self.worker.ended = anyio.Event()
+        self.worker.terminated = anyio.Event()
         listener = await anyio.create_tcp_listener(
             local_host="127.0.0.1", local_port=self.port
         )
         async with listener, anyio.create_task_group() as tasks:
             tasks.start_soon(listener.serve, self.worker.serve)
             store.put("servers", name, entry)
-            await self.worker.ended.wait()
+            await self.worker.terminated.wait()
             tasks.cancel_scope.cancel()
--- a/src/endivegw_standins/platform_worker.py
+++ b/src/endivegw_standins/platform_worker.py
@@ -1,4 +1,4 @@
-"""A small stand-in for the platform's workers, with the faults that callers meet."""
+"""Small stand-in for the platform's workers, with fault injection."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 __all__ = ["PlatformWorker", "WorkerRun"]
 
-#: How long a worker runs a request that ends it.
-_END_AFTER_S = 0.03
+#: Delay between the start of a request and the crash that it causes.
+_CRASH_DELAY_S = 0.03
 
 
 @define
 class WorkerRun:
-    """Hold one request that ran.
+    """One request that ran.
 
-    :param events: events that were sent.
+    :param events: number of events that were sent.
     """
 
     request_id: str
@@ -32,39 +32,41 @@
 class PlatformWorker:
     """Serve plain answers and streams of events.
 
-    :ivar instance_id: requests meant for another one are refused.
-    :ivar sheds: how many requests from now on are refused without running.
-    :ivar breaks_after: events after which the next stream breaks off midway.
-    :ivar event_pause_s: between two events.
-    :ivar misdirected: requests that were meant for another instance.
-    :ivar leaving: whether it says in each answer that it leaves.
-    :ivar pause_s: what it asks for with each request that it turns away; None for
-        nothing.
-    :ivar turned_away: requests that it turned away.
-    :ivar ended_by: a request with these bytes in its body ends the worker soon after
-        it began to run; None where none does.
-    :ivar ends: requests that ended the worker, over all its starts.
-    :ivar ended: set when a request has ended this start.
+    :ivar instance_id: requests for any other instance are refused.
+    :ivar remaining_sheds: number of next requests that are refused without running.
+    :ivar break_after_events: number of events after which the next stream breaks in the
+        middle of an event.
+    :ivar event_pause_s: delay after each event.
+    :ivar misdirected: number of requests that were meant for another instance.
+    :ivar leaving: whether each answer announces that the worker is leaving.
+    :ivar retry_after: Retry-After value of refused requests; None to omit the field.
+    :ivar shed_count: number of requests refused because of ``remaining_sheds``.
+    :ivar crash_trigger: a request with these bytes in its body crashes the worker soon
+        after its start; None to disable.
+    :ivar crashing_request_ids: ids of the requests that crashed the worker, over all
+        incarnations.
+    :ivar terminated: set to terminate this incarnation, for example by a request that
+        crashes it.
     """
 
     instance_id: str
     events: int = 5
-    sheds: int = 0
-    breaks_after: int | None = None
+    remaining_sheds: int = 0
+    break_after_events: int | None = None
     event_pause_s: float = 0.0
     misdirected: int = 0
     runs: list[WorkerRun] = field(factory=list)
     leaving: bool = False
-    pause_s: str | None = None
-    turned_away: int = 0
-    ended_by: bytes | None = None
-    ends: list[str] = field(factory=list)
-    ended: anyio.Event = field(factory=anyio.Event)
+    retry_after: str | None = None
+    shed_count: int = 0
+    crash_trigger: bytes | None = None
+    crashing_request_ids: list[str] = field(factory=list)
+    terminated: anyio.Event = field(factory=anyio.Event)
 
     async def serve(self, stream: SocketStream) -> None:
-        """Serve one connection; what runs ends where the caller is gone."""
-        gone = (anyio.BrokenResourceError, anyio.ClosedResourceError)
-        with contextlib.suppress(*gone):
+        """Serve one connection; a running request ends when the client disconnects."""
+        disconnect_errors = (anyio.BrokenResourceError, anyio.ClosedResourceError)
+        with contextlib.suppress(*disconnect_errors):
             async with stream:
                 while await self._exchange(stream):
                     pass
@@ -99,28 +101,30 @@
         attempt = fields.get("endivegw-attempt-id", "")
         if fields.get("endivegw-expect-instance") != self.instance_id:
             self.misdirected += 1
-            await stream.send(self._head(421, attempt, "content-length: 0\r\n"))
+            await stream.send(
+                self._response_head(421, attempt, "content-length: 0\r\n")
+            )
             return True
-        if self.sheds:
-            self.sheds -= 1
-            self.turned_away += 1
+        if self.remaining_sheds:
+            self.remaining_sheds -= 1
+            self.shed_count += 1
             extra = "endivegw-not-executed: 1\r\ncontent-length: 0\r\n"
-            if self.pause_s is not None:
-                extra += f"retry-after: {self.pause_s}\r\n"
-            await stream.send(self._head(503, attempt, extra))
+            if self.retry_after is not None:
+                extra += f"retry-after: {self.retry_after}\r\n"
+            await stream.send(self._response_head(503, attempt, extra))
             return True
         run = WorkerRun(attempt, fields, body)
         self.runs.append(run)
-        if self.ended_by is not None and self.ended_by in body:
-            await anyio.sleep(_END_AFTER_S)
-            if not self.ended.is_set():
-                self.ends.append(attempt)
-            self.ended.set()
-            # Whoever runs the worker cancels it now.
+        if self.crash_trigger is not None and self.crash_trigger in body:
+            await anyio.sleep(_CRASH_DELAY_S)
+            if not self.terminated.is_set():
+                self.crashing_request_ids.append(attempt)
+            self.terminated.set()
+            # The task that runs the worker cancels it now.
             await anyio.sleep_forever()
         if "endivegw-token-counts" not in fields:
             extra = f"endivegw-response-seal: s\r\ncontent-length: {len(body)}\r\n"
-            await stream.send(self._head(200, attempt, extra) + body)
+            await stream.send(self._response_head(200, attempt, extra) + body)
             return True
         return await self._stream(stream, run)
 
@@ -129,13 +133,13 @@
             "endivegw-response-seal: s\r\ncontent-type: text/event-stream\r\n"
             "transfer-encoding: chunked\r\n"
         )
-        await stream.send(self._head(200, run.request_id, extra))
+        await stream.send(self._response_head(200, run.request_id, extra))
         first = int(run.fields.get("last-event-id", "0")) + 1
         for number in range(first, self.events + 1):
             event = f"id: {number}\ndata: {number}\n\n".encode()
-            if self.breaks_after == number - 1:
-                self.breaks_after = None
-                # The rest of the event never comes.
+            if self.break_after_events == number - 1:
+                self.break_after_events = None
+                # The rest of the event is never sent.
                 await stream.send(b"%x\r\n%b" % (len(event), event[:5]))
                 return False
             await stream.send(b"%x\r\n%b\r\n" % (len(event), event))
@@ -144,7 +148,7 @@
         await stream.send(b"0\r\n\r\n")
         return True
 
-    def _head(self, status: int, attempt: str, extra: str) -> bytes:
+    def _response_head(self, status: int, attempt: str, extra: str) -> bytes:
         if self.leaving:
             extra += "server-leaving: 1\r\n"
         lines = f"HTTP/1.1 {status} X\r\nendivegw-attempt-id: {attempt}\r\n"
--- a/src/endivegw_standins/ports.py
+++ b/src/endivegw_standins/ports.py
@@ -1,4 +1,4 @@
-"""Ports for daemons that are told by their settings where to listen."""
+"""Reservation of ports for daemons whose settings name the port to listen on."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 def reserve_port() -> int:
-    """Return a TCP port of the loopback address, kept until this process ends.
+    """Return a TCP port of the loopback address, reserved until this process exits.
 
-    A port that is asked of the system and closed again is anybody's until the daemon
-    listens: a connection that is opened meanwhile can get it, and the daemon ends with
-    "Address already in use". A bound socket that does not listen keeps it from all
-    but those who listen with ``SO_REUSEADDR``, as daemons do.
+    A port that is bound and closed again is free until the daemon listens. The system
+    can assign it to a connection meanwhile, and the daemon fails with "Address already
+    in use". A bound socket that does not listen blocks the port for all sockets except
+    those that listen with ``SO_REUSEADDR``, as daemons do.
     """
-    keeper = socket.socket()
-    keeper.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    keeper.bind((_LOOPBACK, 0))
-    _reserved.append(keeper)
-    port: int = keeper.getsockname()[1]
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind((_LOOPBACK, 0))
+    _reserved.append(reservation)
+    port: int = reservation.getsockname()[1]
     return port
 
 
 def reserve_datagram_port() -> int:
     """Return a UDP port that no other caller of this module gets.
 
-    Its number is that of a reserved TCP port: a second UDP socket with it would take
-    the daemon's datagrams.
+    The TCP port of the same number is reserved instead, because a second UDP socket on
+    the port would receive the daemon's datagrams.
     """
     while True:
         port = reserve_port()
@@ -39,6 +39,6 @@
             try:
                 probe.bind((_LOOPBACK, port))
             except OSError:
-                # A stranger's; the next number will do.
+                # Another process uses the port; try the next one.
                 continue
         return port
--- a/src/endivegw_standins/prefix_cache.py
+++ b/src/endivegw_standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's prefix cache, with events that come late and get lost."""
+"""Prefix cache of the stand-in engine, whose events are delayed or lost."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 @define
 class PrefixCache:
-    """Keep the blocks that were used last.
+    """LRU cache of prompt blocks.
 
-    :param blocks: how many it holds.
-    :param event_delay_s: how late its events are published.
-    :param event_loss: the share of events that never are.
+    :param blocks: capacity in blocks.
+    :param event_delay_s: delay with which events are published.
+    :param event_loss: share of events that are never published.
     """
 
     blocks: int
@@ -38,8 +38,8 @@
     def __contains__(self, digest: bytes) -> bool:
         return digest in self._entries
 
-    def remember(self, digest: bytes, now_s: float) -> None:
-        """Keep a block; evict the one that was unused for longest."""
+    def add(self, digest: bytes, now_s: float) -> None:
+        """Add a block or mark it as used; evict the least recently used block."""
         if digest in self._entries:
             self._entries.move_to_end(digest)
             return
@@ -50,8 +50,8 @@
             self._publish(oldest, now_s, evicted=True)
 
     def due_events(self, after: int, now_s: float) -> list[dict[str, object]]:
-        """Return the events behind a number that are out by now."""
-        edge_s = now_s - self.event_delay_s
+        """Return the published events with a sequence number above ``after``."""
+        cutoff_s = now_s - self.event_delay_s
         return [
             {
                 "sequence": event.sequence,
@@ -59,7 +59,7 @@
                 "evicted": event.evicted,
             }
             for event in self._events
-            if event.sequence > after and event.at_s <= edge_s
+            if event.sequence > after and event.at_s <= cutoff_s
         ]
 
     def _publish(self, digest: bytes, now_s: float, *, evicted: bool) -> None:
--- a/src/endivegw_standins/service_app.py
+++ b/src/endivegw_standins/service_app.py
@@ -1,4 +1,4 @@
-"""A small plain service: it counts calls and echoes bodies."""
+"""Small plain service that counts calls and echoes request bodies."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from endivegw_standins.asgi import Receive, Scope, Send, header
 
-__all__ = ["ServiceApp", "ServiceKnobs"]
+__all__ = ["ServiceApp", "ServiceOptions"]
 
 IDEMPOTENCY_HEADER = b"idempotency-key"
 ATTEMPT_HEADER = b"x-request-id"
 
 
 @define
-class ServiceKnobs:
-    """Set what goes wrong with the service.
+class ServiceOptions:
+    """Delay and faults of the service, adjustable while it runs.
 
-    :ivar break_after_bytes: cut the connection after so much of the answer.
-    :ivar status: the status of each answer.
+    :ivar break_after_bytes: length of the answer after which the connection breaks.
+    :ivar status: status of each answer.
     """
 
     delay_s: float = 0.0
@@ -29,27 +29,27 @@
     status: int = 200
 
 
-class _Broken(Exception):
-    """Cut the connection in the middle of an answer, on purpose."""
+class _ConnectionBroken(Exception):
+    """Raised to break the connection in the middle of an answer."""
 
 
 @define
 class ServiceApp:
-    """Answer each call with its own body.
+    """Echo the body of each call.
 
-    :ivar calls_by_key: calls whose body came whole, by ``Idempotency-Key``.
-    :ivar calls_by_attempt: the same by attempt id.
-    :ivar began_s: when each body first came, on the monotonic clock.
+    :ivar calls_by_key: number of received calls by ``Idempotency-Key``.
+    :ivar calls_by_attempt: number of received calls by attempt id.
+    :ivar started_s: time at which each body was first received, on the monotonic clock.
     """
 
-    knobs: ServiceKnobs = field(factory=ServiceKnobs)
+    options: ServiceOptions = field(factory=ServiceOptions)
     calls_by_key: Counter[str] = field(factory=Counter)
     calls_by_attempt: Counter[str] = field(factory=Counter)
     bodies: list[bytes] = field(factory=list)
-    began_s: dict[bytes, float] = field(factory=dict)
+    started_s: dict[bytes, float] = field(factory=dict)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one call; lifespan events are refused."""
+        """Handle one HTTP request; lifespan events are ignored."""
         if scope["type"] != "http":
             return
         chunks = await _read_chunks(receive)
@@ -57,24 +57,26 @@
         self.calls_by_attempt[header(scope, ATTEMPT_HEADER)] += 1
         body = b"".join(chunks)
         self.bodies.append(body)
-        self.began_s.setdefault(body, time.monotonic())
-        await anyio.sleep(self.knobs.delay_s)
+        self.started_s.setdefault(body, time.monotonic())
+        await anyio.sleep(self.options.delay_s)
         fields = [
             (b"content-type", b"application/octet-stream"),
             (b"x-method", scope["method"].encode()),
             (b"x-path", scope["path"].encode()),
             (b"connection", b"keep-alive"),
         ]
-        status = self.knobs.status
+        status = self.options.status
         await send({"type": "http.response.start", "status": status, "headers": fields})
         await self._echo(chunks, send)
 
     async def _echo(self, chunks: list[bytes], send: Send) -> None:
-        limit = self.knobs.break_after_bytes
+        limit = self.options.break_after_bytes
         sent = 0
         for chunk in chunks:
             if limit is not None and sent + len(chunk) > limit:
-                raise _Broken("cut by a knob of the stand-in")
+                raise _ConnectionBroken(
+                    f"simulated connection failure after {limit} bytes"
+                )
             await send({"type": "http.response.body", "body": chunk, "more_body": True})
             sent += len(chunk)
         await send({"type": "http.response.body", "body": b""})
--- a/src/endivegw_standins/serving.py
+++ b/src/endivegw_standins/serving.py
@@ -15,9 +15,9 @@
 
 
 async def serve_in(tasks: anyio.abc.TaskGroup, app: Any, *, lifespan: bool) -> str:
-    """Start a server in a task group; return its base URL.
+    """Start a server in a task group and return its base URL.
 
-    The server ends when the task group is cancelled.
+    The server stops when the task group is cancelled.
     """
 
     async def run(
--- a/src/endivegw_standins/virtual_time.py
+++ b/src/endivegw_standins/virtual_time.py
@@ -1,6 +1,6 @@
-"""An event loop whose time jumps to the next timer instead of passing.
+"""Event loop with virtual time, which advances to the next timer without waiting.
 
-Hours of a fleet's life run in seconds, in the same order each time.
+Hours of simulated time run in seconds and in a deterministic order.
 """
 
 from __future__ import annotations
@@ -12,24 +12,24 @@
 __all__ = ["VirtualLoop"]
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """Select without waiting, and tell the loop how long it would have waited."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Select without waiting and advance the loop's time by the timeout instead."""
 
     loop: VirtualLoop
 
     def select(self, timeout: float | None = None) -> list[Any]:
         ready = super().select(0)
         if not ready and timeout:
-            self.loop.jump(timeout)
+            self.loop.advance(timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Run timers one after the other without waiting for them."""
+    """Run timers in order without waiting for them."""
 
     def __init__(self) -> None:
         self._virtual_s = 0.0
-        selector = _JumpingSelector()
+        selector = _VirtualTimeSelector()
         selector.loop = self
         super().__init__(selector)
 
@@ -37,6 +37,6 @@
         """Return the virtual time."""
         return self._virtual_s
 
-    def jump(self, duration_s: float) -> None:
-        """Let time pass at once."""
+    def advance(self, duration_s: float) -> None:
+        """Advance the virtual time."""
         self._virtual_s += duration_s
--- a/tests/platform_fleet.py
+++ b/tests/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Callers of a fleet on loopback, for tests."""
+"""Test client of a fleet on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 __all__ = [
     "CONFIGURATION",
     "PREPAID",
-    "AskedFleet",
+    "ClientFleet",
     "exchange",
     "platform_fleet",
     "serve_asgi_on_loopback",
@@ -29,21 +29,21 @@
 
 @define
 class Answer:
-    """Hold what a caller got; ``whole`` is False where it broke off."""
+    """Response that a caller received; ``complete`` is False if it was truncated."""
 
     status: int
     fields: dict[str, str]
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
 
 @define
-class AskedFleet(PlatformFleet):
-    """Hold a fleet that tests ask as callers and balancers do."""
+class ClientFleet(PlatformFleet):
+    """A fleet to which tests send requests, like callers and load balancers."""
 
-    asked: int = 0
+    request_count: int = 0
 
-    async def ask(
+    async def send_request(
         self,
         route: str,
         *,
@@ -53,12 +53,12 @@
         body: bytes = b"hello",
         deadline_ms: int = 3000,
     ) -> Answer:
-        """Send one request on a connection of its own."""
-        self.asked += 1
+        """Send one request on a new connection."""
+        self.request_count += 1
         fields = [
             ("host", "h.example"),
             ("content-length", str(len(body))),
-            ("endivegw-attempt-id", f"a-{self.asked}"),
+            ("endivegw-attempt-id", f"a-{self.request_count}"),
             ("endivegw-deadline-ms", str(deadline_ms)),
             ("authorization", f"Bearer {key}"),
         ]
@@ -68,18 +68,18 @@
         return await exchange(self.ports[router], request, body)
 
     async def ready_status(self, router: int = 0) -> int:
-        """Return the status of the balancer's question."""
+        """Return the status of the load balancer's readiness check."""
         request = h11.Request(method="GET", target="/ready", headers=[("host", "r")])
         return (await exchange(self.ready_ports[router], request, b"")).status
 
     async def metrics(self, router: int = 0) -> str:
-        """Return the page of metrics."""
+        """Return the metrics page."""
         request = h11.Request(method="GET", target="/metrics", headers=[("host", "r")])
         answer = await exchange(self.metrics_ports[router], request, b"")
         return answer.body.decode()
 
     def consumed_tokens(self) -> int:
-        """Return what targets worked for, in tokens of prompt and answer."""
+        """Return the prompt and answer tokens that targets have processed."""
         total = 0
         for worker in self.workers.values():
             for run in worker.runs:
@@ -90,7 +90,7 @@
 
 
 async def exchange(port: int, request: h11.Request, body: bytes) -> Answer:
-    """Send a request and read what comes back."""
+    """Send a request and read the response."""
     connection = h11.Connection(h11.CLIENT)
     answer = Answer(0, {}, b"")
     async with await anyio.connect_tcp("127.0.0.1", port) as stream:
@@ -102,7 +102,7 @@
             try:
                 event = connection.next_event()
             except h11.RemoteProtocolError:
-                answer.whole = False
+                answer.complete = False
                 return answer
             match event:
                 case h11.Response():
@@ -113,7 +113,7 @@
                 case h11.EndOfMessage():
                     return answer
                 case h11.ConnectionClosed():
-                    answer.whole = False
+                    answer.complete = False
                     return answer
                 case _:
                     try:
@@ -125,8 +125,8 @@
 @contextlib.asynccontextmanager
 async def platform_fleet(
     routers: int = 1, engines: int = 2, row_lasts_s: float = 20.0
-) -> AsyncIterator[AskedFleet]:
-    """Run a fleet; yields once every router is ready."""
-    fleet = AskedFleet(row_lasts_s=row_lasts_s)
+) -> AsyncIterator[ClientFleet]:
+    """Run a fleet; yield when every router is ready."""
+    fleet = ClientFleet(row_lasts_s=row_lasts_s)
     async with run_platform_fleet(fleet, routers, engines):
         yield fleet
--- a/tests/platform_soak.py
+++ b/tests/platform_soak.py
@@ -1,11 +1,11 @@
-"""A randomised soak: real router processes under faults that come from outside.
-
-``python -m tests.platform_soak --first 1 --seeds 50 --span-s 15`` plays seeds one after
-the other and prints a line for each. Routers run as processes of their own; the store,
-the targets and a loopback proxy before each of them run here. Checked while it runs,
-from what callers and targets see: no budget is overspent, what may run once runs once,
-what was told not to have run never ran, answers are whole and the caller's own, and
-the fleet serves again once the faults have ended.
+"""Randomised soak test: separate router processes under external faults.
+
+``python -m tests.platform_soak --first 1 --seeds 50 --span-s 15`` runs seeds in
+sequence and prints a line for each. Routers run as separate processes; the store, the
+targets and a loopback proxy for each of them run in this one. The test checks what
+callers and targets observe: no budget is overspent, requests that may run once run
+once, requests reported as not run never ran, answers are complete and belong to the
+caller, and the fleet recovers after the faults have ended.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 from endivegw_standins.ports import reserve_datagram_port, reserve_port
 from tests.platform_fleet import CONFIGURATION, serve_asgi_on_loopback
 
-__all__ = ["SoakReport", "play_seed"]
+__all__ = ["SoakReport", "run_seed"]
 
-#: Statuses that promise that a request did not run and never will.
+#: Statuses that guarantee that a request did not run and never will.
 _NOT_RUN = frozenset({402, 408, 421, 429, 503})
 
 _ROUTERS = 3
@@ -48,41 +48,41 @@
 _EVENTS = 5
 _GRACE_S = 8.0
 
-#: How long rows of tokens last here; some stalls are longer.
+#: Validity of token rows in this test; some stalls are longer.
 _ROW_LASTS_S = 2.0
-_LONGEST_STALL_S = 4.0
+_MAX_STALL_S = 4.0
 
-#: A request whose body begins so ends each target that runs it; there are two of them
-#: on each route, which many callers send.
-_DEADLY = b"deadly"
-_DEADLY_SHARE = 0.04
+#: A request whose body starts with this prefix crashes each target that runs it. Each
+#: route has two such bodies, which many callers send.
+_CRASHING_PREFIX = b"deadly"
+_CRASHING_SHARE = 0.04
 
-#: Runs of one deadly body that are allowed once all faults have ended.
-_MOST_DEADLY = 3
+#: Maximum number of runs of one crashing body after all faults have ended.
+_MAX_CRASHING_RUNS = 3
 
-#: Kinds of the sample routes that may run once only.
+#: Sample routes whose requests may run at most once.
 _ONCE = frozenset({"print", "chat"})
 
 
 @define
 class SoakReport:
-    """Hold what one seed brought.
+    """Result of one seed.
 
-    :ivar broken: promises that were broken, in words.
+    :ivar violations: descriptions of the violated invariants.
     """
 
     seed: int
     answers: Counter[str] = field(factory=Counter)
     faults: list[str] = field(factory=list)
-    broken: list[str] = field(factory=list)
+    violations: list[str] = field(factory=list)
 
 
 @define
 class Proxy:
-    """Pass bytes on to a port, or do to them what a sick network does.
+    """Forward connections to a port and simulate network faults.
 
-    :ivar mode: ``pass``; ``silent`` in both ways; ``deaf``, which loses answers only;
-        ``reset``, which refuses and resets connections.
+    :ivar mode: ``pass`` forwards data; ``drop_all`` drops data in both directions;
+        ``drop_answers`` drops answers only; ``reset`` refuses and resets connections.
     """
 
     port: int
@@ -90,28 +90,32 @@
     delay_s: float = 0.0
     _open: set[SocketStream] = field(factory=set)
 
-    async def serve(self, near: SocketStream) -> None:
-        """Carry one connection."""
+    async def serve(self, client: SocketStream) -> None:
+        """Forward one connection."""
         if self.mode == "reset":
-            return _reset(near)
+            return _reset(client)
         try:
-            far = await anyio.connect_tcp("127.0.0.1", self.port)
+            upstream = await anyio.connect_tcp("127.0.0.1", self.port)
         except OSError:
-            return _reset(near)
-        self._open |= {near, far}
+            return _reset(client)
+        self._open |= {client, upstream}
         try:
-            async with near, far, anyio.create_task_group() as tasks:
-                tasks.start_soon(self._carry, near, far, False, tasks.cancel_scope)
-                tasks.start_soon(self._carry, far, near, True, tasks.cancel_scope)
+            async with client, upstream, anyio.create_task_group() as tasks:
+                tasks.start_soon(
+                    self._forward, client, upstream, False, tasks.cancel_scope
+                )
+                tasks.start_soon(
+                    self._forward, upstream, client, True, tasks.cancel_scope
+                )
         finally:
-            self._open -= {near, far}
+            self._open -= {client, upstream}
 
     def reset_all(self) -> None:
         """Reset every open connection."""
         for stream in list(self._open):
             _reset(stream)
 
-    async def _carry(
+    async def _forward(
         self,
         source: SocketStream,
         sink: SocketStream,
@@ -122,7 +126,7 @@
             while True:
                 data = await source.receive()
                 await anyio.sleep(self.delay_s)
-                if self.mode == "silent" or (self.mode == "deaf" and answers):
+                if self.mode == "drop_all" or (self.mode == "drop_answers" and answers):
                     continue
                 await sink.send(data)
         scope.cancel()
@@ -136,7 +140,7 @@
 
 
 class Soak:
-    """Hold the fleet, the callers and the faults of one seed."""
+    """Fleet, callers and faults of one seed."""
 
     def __init__(self, seed: int, folder: pathlib.Path, tasks: TaskGroup) -> None:
         self.report = SoakReport(seed)
@@ -154,11 +158,11 @@
         self.refused: set[str] = set()
         self.configuration = {**CONFIGURATION, "Version": 1}
         self.prepaid = _PREPAID
-        self.asked = 0
-        self.vms = 0
+        self.request_count = 0
+        self.vm_count = 0
         self.calm = False
 
-    # The fleet.
+    # Fleet.
 
     async def start(self) -> None:
         """Start the stand-ins, the proxies and the routers."""
@@ -167,7 +171,7 @@
         self.store_port = await self._serve(self.store_proxy.serve)
         for name, service in (("e-1", "engine"), ("e-2", "engine"), ("p-1", "plain")):
             worker = self.workers[name] = PlatformWorker(name, event_pause_s=0.02)
-            worker.ended_by = _DEADLY
+            worker.crash_trigger = _CRASHING_PREFIX
             target = PlatformTarget(name, service, worker)
             self.targets.append(target)
             proxy = Proxy(target.port)
@@ -184,7 +188,7 @@
                 await anyio.sleep(0.1)
 
     def put_configuration(self, prepaid: int) -> None:
-        """Let the operator write another version."""
+        """Write a new configuration version, like the operator."""
         self.prepaid = prepaid
         version = int(str(self.configuration["Version"])) + 3
         account = {"Name": "hotel", "ApiKeys": ["key-1"], "Prepaid": prepaid}
@@ -196,7 +200,7 @@
         self.store.put("op", "config", self.configuration)
 
     def start_router(self, number: int) -> None:
-        """Start a router's process; what it writes goes to a file."""
+        """Start a router's process and redirect its output to a file."""
         log = open(self.folder / f"router-{number}.log", "ab")
         settings = str(self.folder / f"router-{number}.ini")
         command = [sys.executable, "-m", "endivegw", "platform-router"]
@@ -205,8 +209,8 @@
         )
         log.close()
 
-    def end_all(self) -> None:
-        """Kill the processes that this soak started."""
+    def kill_all(self) -> None:
+        """Kill the processes that this test started."""
         for process in self.routers.values():
             process.kill()
             process.wait()
@@ -217,23 +221,23 @@
         return int(listener.extra(SocketAttribute.local_port))
 
     def _write_settings(self, number: int) -> None:
-        """Write the settings of a router on a vm that did not exist before."""
-        self.vms += 1
+        """Write the settings of a router on a new vm."""
+        self.vm_count += 1
         self.ports[number] = reserve_port()
         ready = reserve_port()
         peers = reserve_datagram_port()
         (self.folder / f"router-{number}.ini").write_text(
-            f"[process]\nvm = vm-{self.vms}\navailability_zone = z\n"
+            f"[process]\nvm = vm-{self.vm_count}\navailability_zone = z\n"
             f"[listen]\ncallers = 127.0.0.1:{self.ports[number]}\n"
             f"ready = 127.0.0.1:{ready}\npeers = 127.0.0.1:{peers}\n"
             f"[store]\naddress = 127.0.0.1:{self.store_port}\nspread_rows = yes\n"
             f"[budgets]\nrow_lasts_s = {_ROW_LASTS_S}\n"
         )
 
-    # The callers.
+    # Callers.
 
     async def caller(self) -> None:
-        """Ask on kept connections, each until it ends, until cancelled."""
+        """Send requests on keep-alive connections until cancelled."""
         while True:
             number = self.rng.randrange(_ROUTERS)
             async with httpcore.AsyncConnectionPool(max_connections=1) as pool:
@@ -244,16 +248,19 @@
                     await anyio.sleep(self.rng.random() * 0.15)
 
     async def _call(
-        self, route: str, pool: httpcore.AsyncConnectionPool | None = None, to: int = 0
+        self,
+        route: str,
+        pool: httpcore.AsyncConnectionPool | None = None,
+        router: int = 0,
     ) -> str:
         if pool is None:
             async with httpcore.AsyncConnectionPool() as pool:
                 return await self._call(route, pool, self.rng.randrange(_ROUTERS))
-        self.asked += 1
-        request_id = f"{route}-{self.asked}"
+        self.request_count += 1
+        request_id = f"{route}-{self.request_count}"
         body = request_id.encode()
-        if pool is not None and self.rng.random() < _DEADLY_SHARE:
-            body = b"%b-%d" % (_DEADLY, self.rng.randrange(2))
+        if pool is not None and self.rng.random() < _CRASHING_SHARE:
+            body = b"%b-%d" % (_CRASHING_PREFIX, self.rng.randrange(2))
         fields = {
             "host": "h.example",
             "endivegw-attempt-id": request_id,
@@ -262,19 +269,19 @@
         }
         if route in ("chat", "resumable"):
             fields["endivegw-token-counts"] = f"{self.rng.randrange(50, 900)},40"
-        url = f"http://127.0.0.1:{self.ports[to]}/{route}/x"
+        url = f"http://127.0.0.1:{self.ports[router]}/{route}/x"
         headers = list(fields.items())
         try:
             with anyio.fail_after(5.0):
                 answer = await pool.request("POST", url, headers=headers, content=body)
         except (httpcore.NetworkError, httpcore.ProtocolError):
-            return "cut"
+            return "disconnected"
         except TimeoutError:
             return "timeout"
         self._check_answer(request_id, route, body, answer)
         return str(answer.status)
 
-    # The checks.
+    # Checks.
 
     def _check_answer(
         self, request_id: str, route: str, body: bytes, answer: httpcore.Response
@@ -282,20 +289,24 @@
         if answer.status in _NOT_RUN:
             self.refused.add(request_id)
         is_quarantined = answer.content.startswith(b"quarantined")
-        if is_quarantined and not body.startswith(_DEADLY):
-            self._broke(f"{request_id} was refused for what ended targets")
+        if is_quarantined and not body.startswith(_CRASHING_PREFIX):
+            self._record_violation(
+                f"{request_id} was quarantined though it crashed no target"
+            )
         if answer.status != 200:
             return
         if route in ("print", "notice"):
             if answer.content != body:
-                self._broke(f"{request_id} got another body: {answer.content[:60]!r}")
+                self._record_violation(
+                    f"{request_id} got a wrong body: {answer.content[:60]!r}"
+                )
             return
         ids = [line for line in answer.content.split(b"\n") if line.startswith(b"id:")]
         if ids != [f"id: {number}".encode() for number in range(1, _EVENTS + 1)]:
-            self._broke(f"{request_id} got events {ids}")
+            self._record_violation(f"{request_id} got events {ids}")
 
     def check(self) -> None:
-        """Compare what ran with what was promised."""
+        """Compare the runs at targets with the budget and the reported outcomes."""
         runs: Counter[str] = Counter()
         events: Counter[str] = Counter()
         prompts: dict[str, int] = {}
@@ -309,48 +320,52 @@
         spent = sum(prompts.values())
         spent += sum(_TOKENS_PER_EVENT * min(_EVENTS, n) for n in events.values())
         if spent > self.prepaid:
-            self._broke(f"spent {spent} of {self.prepaid} tokens")
+            self._record_violation(f"spent {spent} of {self.prepaid} tokens")
         for request_id, count in runs.items():
             if count > 1 and request_id.split("-")[0] in _ONCE:
-                self._broke(f"{request_id} ran {count} times")
+                self._record_violation(f"{request_id} ran {count} times")
         for request_id in self.refused & set(runs):
-            self._broke(f"{request_id} ran though its caller was told that it did not")
+            self._record_violation(
+                f"{request_id} ran though its caller was told that it had not run"
+            )
 
-    def deadly_runs(self) -> Counter[tuple[str, bytes]]:
-        """Return how often each deadly body ran, by route."""
+    def crashing_runs(self) -> Counter[tuple[str, bytes]]:
+        """Return the number of runs of each crashing body, by route."""
         runs = [run for worker in self.workers.values() for run in worker.runs]
-        deadly = [run for run in runs if run.body.startswith(_DEADLY)]
-        return Counter((run.request_id.split("-")[0], run.body) for run in deadly)
-
-    def check_deadly(self, before: Counter[tuple[str, bytes]]) -> None:
-        """Check that what ends targets is kept from them once the faults are over."""
-        for name, runs in (self.deadly_runs() - before).items():
-            if runs > _MOST_DEADLY:
-                self._broke(f"{name} ran {runs} times after the faults had ended")
-
-    def _broke(self, what: str) -> None:
-        if what not in self.report.broken:
-            self.report.broken.append(what)
-
-    async def watch(self) -> None:
-        """Check all the time."""
+        crashing = [run for run in runs if run.body.startswith(_CRASHING_PREFIX)]
+        return Counter((run.request_id.split("-")[0], run.body) for run in crashing)
+
+    def check_quarantine(self, before: Counter[tuple[str, bytes]]) -> None:
+        """Check that crashing requests are quarantined after the faults have ended."""
+        for name, runs in (self.crashing_runs() - before).items():
+            if runs > _MAX_CRASHING_RUNS:
+                self._record_violation(
+                    f"{name} ran {runs} times after the faults had ended"
+                )
+
+    def _record_violation(self, violation: str) -> None:
+        if violation not in self.report.violations:
+            self.report.violations.append(violation)
+
+    async def check_periodically(self) -> None:
+        """Run the checks periodically until cancelled."""
         while True:
             self.check()
             await anyio.sleep(0.5)
 
-    async def recovers(self) -> None:
+    async def check_recovery(self) -> None:
         """Check that plain requests are served once the faults have ended."""
         served = 0
         for _ in range(20):
             served += await self._call("notice") == "200"
             await anyio.sleep(0.1)
         if served < 17:
-            self._broke(f"served {served} of 20 after the faults had ended")
+            self._record_violation(f"served {served} of 20 after the faults had ended")
 
-    # The faults.
+    # Faults.
 
-    async def trouble(self) -> None:
-        """Bring faults in series that overlap, until cancelled."""
+    async def inject_faults(self) -> None:
+        """Inject random, overlapping faults until cancelled."""
         while True:
             await anyio.sleep(self.rng.random() * 1.5)
             fault = self.rng.choice(
@@ -366,7 +381,7 @@
         await self._restart(number, 2.0)
 
     async def _replace(self) -> None:
-        """Lose a machine for good; another one comes at a new address."""
+        """Kill a router permanently and start another one on a new vm and address."""
         number = self.rng.randrange(_ROUTERS)
         process = self.routers[number]
         process.kill()
@@ -390,7 +405,7 @@
             process.kill()
             process.wait()
         await anyio.sleep(self.rng.random() * 0.5)
-        # Faults overlap: another one may have started it meanwhile.
+        # Faults overlap, so another one may have restarted the router meanwhile.
         if self.routers[number] is process:
             self.start_router(number)
 
@@ -399,12 +414,14 @@
         if process.poll() is not None:
             return
         os.kill(process.pid, signal.SIGSTOP)
-        await anyio.sleep(self.rng.random() * _LONGEST_STALL_S)
+        await anyio.sleep(self.rng.random() * _MAX_STALL_S)
         if process.poll() is None:
             os.kill(process.pid, signal.SIGCONT)
 
     async def _store(self) -> None:
-        mode = self.rng.choice(["silent", "deaf", "reset", "slow", "down", "lost"])
+        mode = self.rng.choice(
+            ["drop_all", "drop_answers", "reset", "slow", "down", "lost"]
+        )
         match mode:
             case "slow":
                 self.store_proxy.delay_s = 0.2
@@ -421,7 +438,7 @@
 
     async def _target(self) -> None:
         proxy = self.rng.choice(self.proxies)
-        proxy.mode = self.rng.choice(["silent", "deaf", "reset", "pass"])
+        proxy.mode = self.rng.choice(["drop_all", "drop_answers", "reset", "pass"])
         proxy.delay_s = self.rng.choice([0.0, 0.05])
         await anyio.sleep(self.rng.random() * 2.0)
         proxy.reset_all()
@@ -432,10 +449,10 @@
 
     async def _shed(self) -> None:
         worker = self.rng.choice(list(self.workers.values()))
-        worker.sheds += self.rng.randrange(1, 6)
-        worker.pause_s = self.rng.choice([None, "0", "0.3", "1", "2.5", "soon"])
+        worker.remaining_sheds += self.rng.randrange(1, 6)
+        worker.retry_after = self.rng.choice([None, "0", "0.3", "1", "2.5", "soon"])
         if self.rng.random() < 0.5:
-            worker.breaks_after = self.rng.randrange(1, _EVENTS)
+            worker.break_after_events = self.rng.randrange(1, _EVENTS)
 
     async def _leave(self) -> None:
         target = self.rng.choice(self.targets)
@@ -446,9 +463,9 @@
         if row is not None:
             self.store.put("servers", name, {**row, "State": "draining"})
         await anyio.sleep(2.0 + self.rng.random())
-        # It may have ended and started again meanwhile.
+        # The worker may have crashed and restarted meanwhile.
         if worker.instance_id == name:
-            worker.ended.set()
+            worker.terminated.set()
 
 
 @contextlib.asynccontextmanager
@@ -459,59 +476,59 @@
             try:
                 await soak.start()
                 yield soak
-                if soak.report.broken:
-                    _keep_logs(soak)
+                if soak.report.violations:
+                    _save_logs(soak)
             finally:
-                soak.end_all()
+                soak.kill_all()
                 tasks.cancel_scope.cancel()
 
 
-def _keep_logs(soak: Soak) -> None:
-    """Copy the logs of a seed that broke something to where they outlive the run."""
-    kept = pathlib.Path("results") / f"soak-{soak.report.seed}"
-    kept.mkdir(parents=True, exist_ok=True)
+def _save_logs(soak: Soak) -> None:
+    """Copy the logs of a failed seed to a directory that outlives the run."""
+    results = pathlib.Path("results") / f"soak-{soak.report.seed}"
+    results.mkdir(parents=True, exist_ok=True)
     for log in soak.folder.glob("*.log"):
-        (kept / log.name).write_bytes(log.read_bytes())
+        (results / log.name).write_bytes(log.read_bytes())
 
 
-async def play_seed(seed: int, span_s: float) -> SoakReport:
-    """Play one seed: faults for a time, then calm."""
+async def run_seed(seed: int, span_s: float) -> SoakReport:
+    """Run one seed: faults for the given time, then load without faults."""
     async with _soak(seed) as soak:
         async with anyio.create_task_group() as load:
-            load.start_soon(soak.watch)
+            load.start_soon(soak.check_periodically)
             for _ in range(_CALLERS):
                 load.start_soon(soak.caller)
             with anyio.move_on_after(span_s):
-                await soak.trouble()
+                await soak.inject_faults()
             await anyio.sleep(_GRACE_S)
-            before = soak.deadly_runs()
+            before = soak.crashing_runs()
             await anyio.sleep(4.0)
             load.cancel_scope.cancel()
-        soak.check_deadly(before)
-        await soak.recovers()
+        soak.check_quarantine(before)
+        await soak.check_recovery()
         soak.check()
         return soak.report
 
 
 def _reports(first: int, seeds: int, span_s: float) -> Iterator[SoakReport]:
     for seed in range(first, first + seeds):
-        yield anyio.run(play_seed, seed, span_s)
+        yield anyio.run(run_seed, seed, span_s)
 
 
 @click.command()
-@click.option("--first", default=1, show_default=True, help="The first seed.")
-@click.option("--seeds", default=5, show_default=True, help="How many seeds.")
-@click.option("--span-s", default=10.0, show_default=True, help="Faults last so long.")
+@click.option("--first", default=1, show_default=True, help="First seed.")
+@click.option("--seeds", default=5, show_default=True, help="Number of seeds.")
+@click.option("--span-s", default=10.0, show_default=True, help="Seconds with faults.")
 def main(first: int, seeds: int, span_s: float) -> None:
-    """Play seeds one after the other; exit with 1 where a promise was broken."""
-    broken = 0
+    """Run seeds in sequence; exit with 1 if an invariant was violated."""
+    failed = 0
     for report in _reports(first, seeds, span_s):
-        broken += bool(report.broken)
+        failed += bool(report.violations)
         answers = dict(sorted(report.answers.items()))
         click.echo(f"seed {report.seed}: {answers} faults {len(report.faults)}")
-        for what in report.broken:
-            click.echo(f"  BROKEN {what}")
-    sys.exit(1 if broken else 0)
+        for violation in report.violations:
+            click.echo(f"  BROKEN {violation}")
+    sys.exit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/tests/process_fleet.py
+++ b/tests/process_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as separate processes on loopback, beside stand-ins in this one."""
+"""A fleet of separate processes on loopback, with stand-ins in this process."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 )
 from endivegw.dev.sample import load_sample
 from endivegw.services import ListedVm, VmState
-from endivegw_standins.engine_app import EngineApp, EngineKnobs, FakeEngine
+from endivegw_standins.engine_app import EngineApp, EngineOptions, FakeEngine
 from endivegw_standins.platform_app import StandinPlatform
 from endivegw_standins.ports import reserve_port
 from endivegw_standins.service_app import ServiceApp
 from endivegw_standins.serving import serve_in
 
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 
 _COMMON = """
 [process]
@@ -57,8 +57,8 @@
 listen = {http}
 """
 
-#: Finds a dead router soon, so that a test need not wait for it.
-_HASTY_RECOVERY = """
+#: Detects a terminated router early, to keep the tests short.
+_FAST_RECOVERY = """
 [recovery]
 silence_s = 3
 turn_s = 1
@@ -74,7 +74,7 @@
 
 
 class ProcessFleet:
-    """Hold the processes, the stand-ins and the sample accounts.
+    """Processes, stand-ins and sample accounts of one fleet.
 
     :ivar routers: processes by number.
     :ivar sidecars: processes by the target's name.
@@ -86,10 +86,10 @@
         routers: int,
         level: str,
         router_profile: pathlib.Path | None,
-        hasty_recovery: bool,
+        fast_recovery: bool,
     ) -> None:
         self.folder = folder
-        self.hasty_recovery = hasty_recovery
+        self.fast_recovery = fast_recovery
         self.router_profile = router_profile
         self.level = level
         self.platform = StandinPlatform()
@@ -119,7 +119,7 @@
                     app: Any = ServiceApp()
                     self.services[target.name] = app
                 else:
-                    engine = FakeEngine(knobs=EngineKnobs(checks_fence=False))
+                    engine = FakeEngine(options=EngineOptions(checks_fence=False))
                     self.engines[target.name] = engine
                     app = EngineApp(engine)
                 lifespan = target.kind.value == "engine"
@@ -130,11 +130,11 @@
             await anyio.sleep_forever()
 
     def start_sidecar(self, number: int) -> None:
-        """Start the sidecar beside the numbered target."""
+        """Start the sidecar of the numbered target."""
         target = TARGETS[number - 1]
         address = target_address(number)
         zone = target.availability_zone
-        self._list(f"target-{number}", address, zone, "target")
+        self._list_vm(f"target-{number}", address, zone, "target")
         text = _COMMON.format(
             vm=f"target-{number}", zone=zone, address=address, **self._shared()
         ) + _SIDECAR.format(
@@ -149,39 +149,41 @@
         """Start the numbered router."""
         address = router_address(number)
         zone = ZONES[(number - 1) % len(ZONES)]
-        self._list(f"entry-{number}", address, zone, "router")
+        self._list_vm(f"entry-{number}", address, zone, "router")
         text = _COMMON.format(
             vm=f"entry-{number}", zone=zone, address=address, **self._shared()
         ) + _ROUTER.format(http=f"{LOOPBACK}:{self.http_ports[number]}")
-        if self.hasty_recovery:
-            text += _HASTY_RECOVERY
+        if self.fast_recovery:
+            text += _FAST_RECOVERY
         self.routers[number] = self._start("router", f"entry-{number}", text)
 
     def url(self, number: int) -> str:
-        """Return where the numbered router listens for callers."""
+        """Return the URL on which the numbered router serves callers."""
         return f"http://{LOOPBACK}:{self.http_ports[number]}"
 
     def wait_ready(self, number: int) -> None:
-        """Wait until a router says that it is ready."""
-        deadline_s = time.monotonic() + START_S
+        """Wait until a router reports that it is ready."""
+        deadline_s = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline_s:
             with contextlib.suppress(httpcore.NetworkError, httpcore.ProtocolError):
                 reply = httpcore.request("GET", self.url(number) + "/readyz")
                 if reply.status == 200:
                     return
             time.sleep(0.05)
-        raise TimeoutError(f"router {number} did not become ready")
+        raise TimeoutError(
+            f"router {number} was not ready within {START_TIMEOUT_S:g} s"
+        )
 
     def pause(self, number: int) -> None:
-        """Freeze a router's process."""
+        """Suspend a router's process."""
         self.routers[number].send_signal(signal.SIGSTOP)
 
-    def wake(self, number: int) -> None:
-        """Let a frozen router go on."""
+    def resume(self, number: int) -> None:
+        """Resume a suspended router."""
         self.routers[number].send_signal(signal.SIGCONT)
 
-    def end(self) -> None:
-        """End every process that this fleet started."""
+    def kill_all(self) -> None:
+        """Kill every process that this fleet started."""
         processes = [*self.routers.values(), *self.sidecars.values()]
         for process in processes:
             if process.poll() is None:
@@ -191,7 +193,7 @@
             process.wait()
 
     def log(self, name: str) -> str:
-        """Return the log of a process, by the id of its machine."""
+        """Return the log of a process, by the name of its vm."""
         return (self.folder / f"{name}.log").read_text()
 
     def _shared(self) -> dict[str, Any]:
@@ -216,9 +218,11 @@
                 env={**os.environ, "PYTHONPATH": "src"},
             )
 
-    def _list(self, vm: str, address: str, zone: Any, role: str) -> None:
-        others = [line for line in self.platform.vms if line.vm != vm]
-        self.platform.vms = others + [ListedVm(vm, address, zone, role, VmState.LIVE)]
+    def _list_vm(self, vm: str, address: str, zone: Any, role: str) -> None:
+        other_vms = [line for line in self.platform.vms if line.vm != vm]
+        self.platform.vms = other_vms + [
+            ListedVm(vm, address, zone, role, VmState.LIVE)
+        ]
 
 
 @contextlib.contextmanager
@@ -227,17 +231,17 @@
     routers: int = 2,
     level: str = "info",
     router_profile: pathlib.Path | None = None,
-    hasty_recovery: bool = True,
+    fast_recovery: bool = True,
 ) -> Iterator[ProcessFleet]:
     """Run stand-ins and processes; yield when every router is ready.
 
-    :param router_profile: where each router writes a profile when it ends.
-    :param hasty_recovery: whether routers look for dead ones each second rather
-        than at the product's own interval.
+    :param router_profile: path to which each router writes a profile when it exits.
+    :param fast_recovery: whether routers check for terminated routers every second
+        instead of at the default interval.
     """
     with tempfile.TemporaryDirectory() as folder, start_blocking_portal() as portal:
         fleet = ProcessFleet(
-            pathlib.Path(folder), routers, level, router_profile, hasty_recovery
+            pathlib.Path(folder), routers, level, router_profile, fast_recovery
         )
         served, _ = portal.start_task(fleet.serve_standins)
         try:
@@ -249,6 +253,6 @@
                 fleet.wait_ready(number)
             yield fleet
         finally:
-            fleet.end()
+            fleet.kill_all()
             portal.call(fleet.stop_standins)
             served.result()
--- a/tests/test_caller_departures.py
+++ b/tests/test_caller_departures.py
@@ -13,7 +13,7 @@
 
 from endivegw_standins.platform_target import TARGET_ENTRY
 from endivegw_standins.platform_worker import WorkerRun
-from tests.platform_fleet import PREPAID, AskedFleet, platform_fleet
+from tests.platform_fleet import PREPAID, ClientFleet, platform_fleet
 
 #: Longer than any operation of a caller in these tests.
 _TIMEOUT_S = 10.0
@@ -49,7 +49,7 @@
     thread.join()
 
 
-def _received_request_ids(fleet: AskedFleet) -> set[str]:
+def _received_request_ids(fleet: ClientFleet) -> set[str]:
     """Return the ids of all requests that reached a target."""
     runs: list[WorkerRun] = []
     for worker in fleet.workers.values():
@@ -57,14 +57,14 @@
     return {run.request_id for run in runs}
 
 
-async def _open_connections_to_targets(fleet: AskedFleet) -> None:
+async def _open_connections_to_targets(fleet: ClientFleet) -> None:
     """Fill the connection pools, so that the router forwards requests immediately."""
     for worker in fleet.workers.values():
         worker.event_pause_s = 0.02
     async with anyio.create_task_group() as tasks:
         for route in _ROUTES * 4:
             tokens = (100, 40) if route == "chat" else None
-            tasks.start_soon(lambda r=route, t=tokens: fleet.ask(r, tokens=t))
+            tasks.start_soon(lambda r=route, t=tokens: fleet.send_request(r, tokens=t))
 
 
 @contextlib.contextmanager
@@ -82,19 +82,19 @@
         yield f"127.0.0.1:{listener.getsockname()[1]}"
 
 
-async def _unused_tokens(fleet: AskedFleet) -> float:
+async def _unused_tokens(fleet: ClientFleet) -> float:
     """Return the tokens that the router holds and has not reserved or used."""
     page = await fleet.metrics()
     return float(page.split("\nendivegw_hand_tokens ")[1].split()[0])
 
 
-async def _any_request_placed(fleet: AskedFleet) -> bool:
+async def _any_request_placed(fleet: ClientFleet) -> bool:
     """Return whether a target was chosen for any request."""
     page = await fleet.metrics()
     return float(page.split("\nendivegw_queue_seconds_count ")[1].split()[0]) > 0
 
 
-async def _request_metrics(fleet: AskedFleet) -> str:
+async def _request_metrics(fleet: ClientFleet) -> str:
     """Return the metrics of requests and tokens, for the message of a failure."""
     page = await fleet.metrics()
     wanted = ("endivegw_requests", "endivegw_hand", "endivegw_reserved")
@@ -134,7 +134,7 @@
                 before = _received_request_ids(fleet)
                 _block_event_loop(send_and_disconnect)
                 # A later request is answered after all unread requests were processed.
-                answer = await fleet.ask("print")
+                answer = await fleet.send_request("print")
                 self.assertEqual(answer.status, 200)
                 await anyio.wait_all_tasks_blocked()
                 reached = {
--- a/tests/test_configuration_agent.py
+++ b/tests/test_configuration_agent.py
@@ -173,8 +173,8 @@
                 with anyio.fail_after(5):
                     await one.wait_ready()
                     await two.wait_ready()
-                test_fleet.platform.faults.table.cut_off.add("two")
-                test_fleet.platform.faults.objects.cut_off.add("two")
+                test_fleet.platform.faults.table.partitioned.add("two")
+                test_fleet.platform.faults.objects.partitioned.add("two")
                 await test_fleet.change("kiosk")
                 await wait_for(lambda: two.revision == 1)
                 tasks.cancel_scope.cancel()
--- a/tests/test_crashing_calls.py
+++ b/tests/test_crashing_calls.py
@@ -31,12 +31,14 @@
         async def scenario() -> None:
             async with running_fleet() as fleet:
                 for engine in fleet.engines.values():
-                    engine.knobs.ended_by = DEADLY
+                    engine.options.crash_trigger = DEADLY
                 for calls in (1, 1, 1, 6):
                     async with anyio.create_task_group() as tasks:
                         for number in range(calls):
                             tasks.start_soon(send_deadly, fleet, number % 2)
-                terminations = sum(engine.ends for engine in fleet.engines.values())
+                terminations = sum(
+                    engine.crash_count for engine in fleet.engines.values()
+                )
                 self.assertLessEqual(terminations, MAX_TERMINATIONS)
 
         anyio.run(scenario)
@@ -47,7 +49,7 @@
         async def scenario() -> None:
             async with running_fleet() as fleet:
                 for engine in fleet.engines.values():
-                    engine.knobs.ended_by = DEADLY
+                    engine.options.crash_trigger = DEADLY
                 statuses: list[int] = []
 
                 async def send_healthy(number: int) -> None:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from tests.platform_fleet import Answer, AskedFleet, platform_fleet
+from tests.platform_fleet import Answer, ClientFleet, platform_fleet
 
 DEADLY = b"a prompt that ends its engine"
 
@@ -14,26 +14,26 @@
 MAX_LATE = 3
 
 
-def arm(fleet: AskedFleet) -> None:
+def arm(fleet: ClientFleet) -> None:
     """Make the deadly request terminate each engine that runs it."""
     for worker in fleet.workers.values():
-        worker.ended_by = DEADLY
+        worker.crash_trigger = DEADLY
 
 
-def arrivals(fleet: AskedFleet) -> int:
+def arrivals(fleet: ClientFleet) -> int:
     """Return how often the deadly request started to run."""
     runs = [run for worker in fleet.workers.values() for run in worker.runs]
     return sum(run.body == DEADLY for run in runs)
 
 
-async def send_healthy(fleet: AskedFleet, router: int) -> Answer:
+async def send_healthy(fleet: ClientFleet, router: int) -> Answer:
     """Send a harmless request until it is answered completely."""
     with anyio.fail_after(20):
         while True:
-            answer = await fleet.ask(
+            answer = await fleet.send_request(
                 "resumable", router=router, tokens=(50, 20), body=b"all is well"
             )
-            if answer.status == 200 and answer.whole:
+            if answer.status == 200 and answer.complete:
                 return answer
             await anyio.sleep(0.05)
 
@@ -49,11 +49,13 @@
                 arm(fleet)
                 for number in range(9):
                     await send_healthy(fleet, number % 3)
-                    await fleet.ask(
+                    await fleet.send_request(
                         "resumable", router=number % 3, tokens=(60, 20), body=DEADLY
                     )
                 self.assertLessEqual(arrivals(fleet), 3 + MAX_LATE)
-                refused = await fleet.ask("resumable", tokens=(60, 20), body=DEADLY)
+                refused = await fleet.send_request(
+                    "resumable", tokens=(60, 20), body=DEADLY
+                )
                 self.assertEqual(refused.status, 503)
                 self.assertGreater(float(refused.fields["retry-after"]), 1.0)
 
@@ -67,7 +69,7 @@
                 arm(fleet)
                 for number in range(8):
                     await send_healthy(fleet, number % 2)
-                    await fleet.ask(
+                    await fleet.send_request(
                         "resumable", router=number % 2, tokens=(60, 20), body=DEADLY
                     )
                     if number in (3, 5):
--- a/tests/test_dev_platform.py
+++ b/tests/test_dev_platform.py
@@ -1,4 +1,4 @@
-"""``endivegw dev --platform`` as a newcomer meets it."""
+"""Tests of the command ``endivegw dev --platform``."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class DevPlatformTests(unittest.TestCase):
-    """Start it, ask as its own line says, end it."""
+    """Start the command, send its example request and stop it."""
 
     def test_the_printed_line_is_answered(self) -> None:
-        """The command prints how to ask, answers, and drains when it is told to end."""
+        """The printed curl command is answered, and SIGINT drains the fleet."""
         command = [sys.executable, "-m", "endivegw", "dev", "--platform"]
         with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
             self.addCleanup(process.kill)
--- a/tests/test_direct_router.py
+++ b/tests/test_direct_router.py
@@ -17,12 +17,12 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                plain = await fleet.ask("print", body=b"badge")
+                plain = await fleet.send_request("print", body=b"badge")
                 self.assertEqual((plain.status, plain.body), (200, b"badge"))
                 self.assertEqual(plain.fields["endivegw-response-seal"], "s")
-                stream = await fleet.ask("chat", tokens=(100, 40))
+                stream = await fleet.send_request("chat", tokens=(100, 40))
                 self.assertEqual(stream.body.count(b"id: "), 5)
-                self.assertTrue(stream.whole)
+                self.assertTrue(stream.complete)
                 run = fleet.workers["p-1"].runs[0]
                 self.assertEqual(run.fields["endivegw-tenant"], "hotel")
                 self.assertNotIn("authorization", run.fields)
@@ -38,7 +38,7 @@
 
         async def scenario() -> None:
             async with platform_fleet(routers=2) as fleet:
-                await fleet.ask("chat", tokens=(100, 40))
+                await fleet.send_request("chat", tokens=(100, 40))
                 parts = fleet.store.partitions("token-holders")
                 self.assertEqual(parts, {"vm-0": "vm-0", "vm-1": "vm-1"})
                 self.assertEqual(set(fleet.store.partitions("op").values()), {""})
@@ -50,9 +50,9 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                await fleet.ask("print")
-                await fleet.ask("chat", tokens=(100, 40))
-                await fleet.ask("nowhere")
+                await fleet.send_request("print")
+                await fleet.send_request("chat", tokens=(100, 40))
+                await fleet.send_request("nowhere")
                 page = await fleet.metrics()
                 for line in (
                     'endivegw_requests_total{kind="at-most-once",outcome="answered"} 1',
@@ -72,9 +72,11 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                self.assertEqual((await fleet.ask("print", key="no")).status, 401)
-                self.assertEqual((await fleet.ask("nowhere")).status, 404)
-                large = await fleet.ask("chat", tokens=(PREPAID + 1, 5))
+                self.assertEqual(
+                    (await fleet.send_request("print", key="no")).status, 401
+                )
+                self.assertEqual((await fleet.send_request("nowhere")).status, 404)
+                large = await fleet.send_request("chat", tokens=(PREPAID + 1, 5))
                 self.assertEqual(large.status, 402)
                 self.assertEqual(fleet.consumed_tokens(), 0)
 
@@ -89,10 +91,10 @@
         async def scenario() -> None:
             async with platform_fleet() as fleet:
                 for worker in fleet.workers.values():
-                    worker.breaks_after = 2
-                stream = await fleet.ask("chat", tokens=(100, 40))
+                    worker.break_after_events = 2
+                stream = await fleet.send_request("chat", tokens=(100, 40))
                 self.assertEqual(stream.body.count(b"id: "), 2)
-                self.assertFalse(stream.whole)
+                self.assertFalse(stream.complete)
 
         anyio.run(scenario)
 
@@ -105,15 +107,15 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                fleet.workers["e-1"].breaks_after = 2
+                fleet.workers["e-1"].break_after_events = 2
 
                 async def watch() -> None:
-                    stream = await fleet.ask("resumable", tokens=(100, 40))
+                    stream = await fleet.send_request("resumable", tokens=(100, 40))
                     ids = [f"id: {number}\n".encode() for number in range(1, 6)]
                     self.assertEqual(
                         [stream.body.count(event) for event in ids], [1] * 5
                     )
-                    self.assertTrue(stream.whole)
+                    self.assertTrue(stream.complete)
 
                 # Four requests run at a time, so that both targets get some.
                 async with anyio.create_task_group() as tasks:
@@ -136,8 +138,8 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                fleet.workers["p-1"].sheds = 1
-                answer = await fleet.ask("print")
+                fleet.workers["p-1"].remaining_sheds = 1
+                answer = await fleet.send_request("print")
                 self.assertEqual(answer.status, 503)
                 self.assertGreater(float(answer.fields["retry-after"]), 0.0)
                 self.assertEqual(fleet.workers["p-1"].runs, [])
@@ -156,7 +158,9 @@
 
                 async def caller(number: int) -> None:
                     for _ in range(12):
-                        await fleet.ask("chat", router=number % 2, tokens=(1900, 100))
+                        await fleet.send_request(
+                            "chat", router=number % 2, tokens=(1900, 100)
+                        )
 
                 async with anyio.create_task_group() as tasks:
                     for number in range(6):
@@ -168,11 +172,13 @@
                 await anyio.sleep(0.5)
                 for router in (0, 1):
                     for _ in range(10):
-                        await fleet.ask("chat", router=router, tokens=(1900, 100))
+                        await fleet.send_request(
+                            "chat", router=router, tokens=(1900, 100)
+                        )
                 used = fleet.consumed_tokens()
                 self.assertLessEqual(used, PREPAID)
                 self.assertGreater(used, PREPAID * 0.8)
-                last = await fleet.ask("chat", tokens=(30_000, 100))
+                last = await fleet.send_request("chat", tokens=(30_000, 100))
                 self.assertEqual(last.status, 402)
 
         anyio.run(scenario)
@@ -190,7 +196,7 @@
                 statuses = set()
                 with anyio.move_on_after(6):
                     while 200 not in statuses:
-                        answer = await fleet.ask("chat", tokens=(1900, 100))
+                        answer = await fleet.send_request("chat", tokens=(1900, 100))
                         statuses.add(answer.status)
                         await anyio.sleep(0.1)
                 self.assertIn(200, statuses)
@@ -208,11 +214,11 @@
                 fewer = {**CONFIGURATION, "Version": 9, "Routes": []}
                 fleet.store.put("op", "config", fewer)
                 with anyio.fail_after(3):
-                    while (await fleet.ask("print")).status != 404:
+                    while (await fleet.send_request("print")).status != 404:
                         await anyio.sleep(0.02)
                 fleet.store.put("op", "config", CONFIGURATION)
                 await anyio.sleep(0.3)
-                self.assertEqual((await fleet.ask("print")).status, 404)
+                self.assertEqual((await fleet.send_request("print")).status, 404)
 
         anyio.run(scenario)
 
@@ -225,12 +231,12 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                await fleet.ask("chat", tokens=(1900, 100))
+                await fleet.send_request("chat", tokens=(1900, 100))
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(fleet.routers[0].drain)
                     await anyio.sleep(0.1)
                     self.assertEqual(await fleet.ready_status(), 503)
-                    answer = await fleet.ask("print")
+                    answer = await fleet.send_request("print")
                     self.assertEqual(answer.status, 200)
                     self.assertEqual(answer.fields["connection"], "close")
                 drawn = fleet.store.documents("token-budgets")["hotel"]["drawn"]
@@ -253,7 +259,9 @@
                 streams = []
 
                 async def watch() -> None:
-                    answer = await fleet.ask("chat", tokens=(100, 40), deadline_ms=3900)
+                    answer = await fleet.send_request(
+                        "chat", tokens=(100, 40), deadline_ms=3900
+                    )
                     streams.append(answer)
 
                 async with anyio.create_task_group() as tasks:
@@ -262,8 +270,8 @@
                     tasks.start_soon(fleet.routers[0].drain)
                     await anyio.sleep(2.9)
                     with self.assertRaises(OSError):
-                        await fleet.ask("print")
-                self.assertTrue(streams[0].whole)
+                        await fleet.send_request("print")
+                self.assertTrue(streams[0].complete)
                 self.assertEqual(streams[0].body.count(b"id: "), 5)
 
         anyio.run(scenario)
@@ -280,12 +288,12 @@
                 worker = fleet.workers["p-1"]
                 worker.instance_id = "p-2"
                 for _ in range(3):
-                    self.assertEqual((await fleet.ask("print")).status, 503)
+                    self.assertEqual((await fleet.send_request("print")).status, 503)
                 self.assertEqual(worker.misdirected, 1)
                 entry = fleet.store.documents("servers")["p-1"]
                 fleet.store.put("servers", "p-2", entry)
                 with anyio.fail_after(3):
-                    while (await fleet.ask("print")).status != 200:
+                    while (await fleet.send_request("print")).status != 200:
                         await anyio.sleep(0.05)
 
         anyio.run(scenario)
--- a/tests/test_exercise.py
+++ b/tests/test_exercise.py
@@ -1,4 +1,4 @@
-"""The whole fleet under load and faults, judged by engines and callers."""
+"""Run the complete fleet under load and faults, with callers and engines as oracle."""
 
 import unittest
 
@@ -10,12 +10,12 @@
 class ExerciseTests(unittest.TestCase):
     def test_faults_break_no_promise(self):
         """
-        A router is killed with streams open, the table goes away, another
-        router is cut off from it while an account is topped up, a target is
-        drained, another one is slow, a sidecar is killed with work running, and
-        answers of the table get lost. Callers get each answer whole and once,
-        no account spends past its budget, and the bill holds what the engines
-        consumed.
+        A router is killed with open streams, the table fails, another router is
+        partitioned from the table while an account is topped up, a target is
+        drained, another target is slow, a sidecar is killed with work in progress,
+        and answers of the table are lost. Callers get each answer complete and
+        once, no account exceeds its budget, and the bill matches the consumption
+        at the engines.
         """
         figures = anyio.run(run_exercise, 8.0, 11)
         self.assertEqual(figures.violations, [])
--- a/tests/test_exercise_patience.py
+++ b/tests/test_exercise_patience.py
@@ -1,26 +1,26 @@
-"""How long callers of the exercise wait for a fleet in the same process."""
+"""Timeouts of callers whose routers run in the same process."""
 
 import time
 import unittest
 
 import anyio
 
-from endivegw.dev.patience import Patience
+from endivegw.dev.patience import StallAwareTimeouts
 
 STALL_S = 0.3
 
 
-class PatienceTests(unittest.TestCase):
+class StallAwareTimeoutsTests(unittest.TestCase):
     def outcome(self, limit_s, answer_s, *, stalls):
-        """Return what a caller met whose router answers after a time."""
+        """Return the result of a caller whose router answers after a delay."""
 
         async def scenario():
-            patience = Patience()
+            timeouts = StallAwareTimeouts()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(patience.run)
+                tasks.start_soon(timeouts.run)
                 await anyio.sleep(0)
                 try:
-                    with patience.fail_after(limit_s):
+                    with timeouts.fail_after(limit_s):
                         if stalls:
                             time.sleep(STALL_S)
                         await anyio.sleep(answer_s)
@@ -32,14 +32,14 @@
 
         return anyio.run(scenario)
 
-    def test_a_stall_of_the_process_is_no_silence_of_the_router(self):
-        """The machine gives the process no time for longer than the caller waits.
-        The router, in the same process, could not answer meanwhile, and does when
-        it runs again. The caller must still be there."""
+    def test_a_stall_of_the_process_does_not_count_as_a_timeout(self):
+        """The process gets no CPU time for longer than the caller's timeout. The
+        router, in the same process, cannot answer until the process continues, so
+        the caller must still be waiting then."""
         self.assertEqual(self.outcome(0.25, 0.1, stalls=True), "answer")
 
-    def test_a_router_that_stays_silent_is_given_up(self):
-        """A router never ends a request; its caller must not wait for ever."""
+    def test_an_unresponsive_router_causes_a_timeout(self):
+        """A router never completes a request; the caller must not wait forever."""
         self.assertEqual(self.outcome(0.2, 60.0, stalls=False), "timeout")
 
 
