--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from tests.platform_fleet import AskedFleet, platform_fleet
+from tests.platform_fleet import ClientFleet, platform_fleet
 
 #: Maximum requests that may reach a target during its pause: those that were in
 #: flight when it requested the pause.
@@ -14,7 +14,7 @@
 
 
 async def send_requests(
-    fleet: AskedFleet, count: int, route: str = "resumable"
+    fleet: ClientFleet, count: int, route: str = "resumable"
 ) -> list[int]:
     """Send requests four at a time, so that each target gets some.
 
@@ -25,7 +25,7 @@
         worker.event_pause_s = 0.02
 
     async def send() -> None:
-        answer = await fleet.ask(route, tokens=(50, 20))
+        answer = await fleet.send_request(route, tokens=(50, 20))
         statuses.append(answer.status)
 
     while len(statuses) < count:
@@ -35,7 +35,7 @@
     return statuses
 
 
-async def send_until_run(fleet: AskedFleet, name: str) -> None:
+async def send_until_run(fleet: ClientFleet, name: str) -> None:
     """Send requests until a target has run one."""
     with anyio.fail_after(10):
         while not fleet.workers[name].runs:
@@ -50,7 +50,7 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                fleet.store.unread.add("servers")
+                fleet.store.unreadable_tables.add("servers")
                 leaving = fleet.workers["e-1"]
                 leaving.leaving = True
                 await send_until_run(fleet, "e-1")
@@ -82,7 +82,7 @@
 
         async def scenario() -> None:
             async with platform_fleet() as fleet:
-                fleet.store.unread.add("servers")
+                fleet.store.unreadable_tables.add("servers")
                 for name in ("e-1", "e-2"):
                     fleet.workers[name].leaving = True
                 for name in ("e-1", "e-2"):
@@ -97,14 +97,16 @@
 
         async def scenario() -> None:
             async with platform_fleet(routers=2) as fleet:
-                fleet.store.unread.add("servers")
+                fleet.store.unreadable_tables.add("servers")
                 leaving = fleet.workers["e-1"]
                 leaving.leaving = True
                 await send_until_run(fleet, "e-1")
                 await anyio.sleep(0.3)
                 ran = len(leaving.runs)
                 for _ in range(20):
-                    answer = await fleet.ask("resumable", router=1, tokens=(50, 20))
+                    answer = await fleet.send_request(
+                        "resumable", router=1, tokens=(50, 20)
+                    )
                     self.assertEqual(answer.status, 200)
                 self.assertEqual(len(leaving.runs), ran)
 
@@ -115,17 +117,17 @@
     """A target refuses a request and states for how long it accepts none."""
 
     async def _count_refused_in_pause(
-        self, fleet: AskedFleet, pause_s: str, count: int
+        self, fleet: ClientFleet, retry_after: str, count: int
     ) -> int:
         """Let one target request a pause; return how many requests still reach it."""
         pausing = fleet.workers["e-1"]
-        pausing.sheds, pausing.pause_s = 1000, pause_s
+        pausing.remaining_sheds, pausing.retry_after = 1000, retry_after
         with anyio.fail_after(10):
-            while not pausing.turned_away:
+            while not pausing.shed_count:
                 await send_requests(fleet, 4)
-        first = pausing.turned_away
+        first = pausing.shed_count
         await send_requests(fleet, count)
-        return pausing.turned_away - first
+        return pausing.shed_count - first
 
     def test_a_target_gets_no_requests_during_its_pause(self) -> None:
         """Guards against requests to a target that is overloaded."""
@@ -143,14 +145,14 @@
         async def scenario() -> None:
             async with platform_fleet() as fleet:
                 for name in ("e-1", "e-2"):
-                    fleet.workers[name].sheds = 1000
-                    fleet.workers[name].pause_s = "20"
+                    fleet.workers[name].remaining_sheds = 1000
+                    fleet.workers[name].retry_after = "20"
                 await send_requests(fleet, 8)
-                answer = await fleet.ask("resumable", tokens=(50, 20))
+                answer = await fleet.send_request("resumable", tokens=(50, 20))
                 self.assertEqual(answer.status, 503)
                 self.assertGreater(float(answer.fields["retry-after"]), 15.0)
-                turned_away = sum(w.turned_away for w in fleet.workers.values())
-                self.assertLessEqual(turned_away, 2 * (1 + MAX_IN_PAUSE))
+                shed_count = sum(w.shed_count for w in fleet.workers.values())
+                self.assertLessEqual(shed_count, 2 * (1 + MAX_IN_PAUSE))
 
         anyio.run(scenario)
 
@@ -161,7 +163,7 @@
             async with platform_fleet() as fleet:
                 pausing = fleet.workers["e-1"]
                 await self._count_refused_in_pause(fleet, "0.2", 4)
-                pausing.sheds = 0
+                pausing.remaining_sheds = 0
                 await anyio.sleep(0.5)
                 await send_until_run(fleet, "e-1")
 
--- a/tests/test_lost_machines.py
+++ b/tests/test_lost_machines.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from tests.platform_fleet import PREPAID, AskedFleet, platform_fleet
+from tests.platform_fleet import PREPAID, ClientFleet, platform_fleet
 
 #: Largest prompt and output of a request, and the tokens that its engine processes.
 TOKENS = (900, 100)
@@ -16,17 +16,17 @@
 RETURNED_S = VALIDITY_S + 5.0
 
 
-async def send_requests(fleet: AskedFleet, requests: int) -> list[int]:
+async def send_requests(fleet: ClientFleet, requests: int) -> list[int]:
     """Send requests to the routers in turn; return the statuses."""
     statuses = []
     for number in range(requests):
         router = number % len(fleet.ports)
-        answer = await fleet.ask("chat", router=router, tokens=TOKENS)
+        answer = await fleet.send_request("chat", router=router, tokens=TOKENS)
         statuses.append(answer.status)
     return statuses
 
 
-async def exhaust_budget(fleet: AskedFleet) -> list[int]:
+async def exhaust_budget(fleet: ClientFleet) -> list[int]:
     """Send requests until every router refuses with 402."""
     statuses: list[int] = []
     with anyio.fail_after(60.0):
--- a/tests/test_operators_and_fleet.py
+++ b/tests/test_operators_and_fleet.py
@@ -97,8 +97,8 @@
         isolated += [running.sidecar for running in self.fleet.sidecars]
         faults = self.fleet.platform.faults
         for daemon in isolated:
-            faults.table.cut_off.add(daemon._parts.instance_id)
-            faults.objects.cut_off.add(daemon._parts.instance_id)
+            faults.table.partitioned.add(daemon._parts.instance_id)
+            faults.objects.partitioned.add(daemon._parts.instance_id)
         self.run_command("template", "create", "extra", "weight=2")
         newest = self.fleet.platform.table.get(REVISION_KEY).fields["revision"]
         self.wait_until(lambda: self.revisions() == {newest}, 15.0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -29,7 +29,7 @@
 )
 from endivegw.telemetry import EventLog
 from endivegw.types import AvailabilityZone, InstanceId, TargetName
-from endivegw_standins.engine_app import EngineKnobs, FakeEngine
+from endivegw_standins.engine_app import EngineOptions, FakeEngine
 from endivegw_standins.engine_model import StaleFence
 from endivegw_standins.memory_table import MemoryTable
 
@@ -92,8 +92,8 @@
     def __init__(self, *, checks_fence):
         self.now_s = 0.0
         self.checks_fence = checks_fence
-        knobs = EngineKnobs(checks_fence=checks_fence)
-        self.engine = FakeEngine(models={"badge"}, knobs=knobs)
+        options = EngineOptions(checks_fence=checks_fence)
+        self.engine = FakeEngine(models={"badge"}, options=options)
         self.table = MemoryTable()
 
     def manager(self, name, *, table=None):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -155,7 +155,7 @@
         async def scenario():
             async with running_fleet() as fleet:
                 (service,) = fleet.services.values()
-                service.knobs.delay_s = 5.0
+                service.options.delay_s = 5.0
                 for deadline_s in ("0.5", "10"):
                     reply = await post(
                         fleet,
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: rows and header fields decoded once into the product's types."""
+"""Tests of the platform adapter, which decodes rows and header fields."""
 
 from __future__ import annotations
 
@@ -61,10 +61,10 @@
 
 
 class ConfigurationTests(unittest.TestCase):
-    """Decode the operator's row."""
+    """Decode the operator's configuration and target entries."""
 
     def test_everything_is_decoded(self) -> None:
-        """Times become seconds, kinds and splits the product's own."""
+        """Times are converted to seconds, kinds and traffic splits to types."""
         found = decode_configuration(json.dumps(CONFIGURATION).encode())
         route = found.routes[0]
         self.assertEqual((found.version, route.host), (7, "h.example"))
@@ -79,7 +79,7 @@
         self.assertEqual(found.tokens_per_event, 4)
 
     def test_a_malformed_row_is_refused_with_a_reason(self) -> None:
-        """A row that does not decode must leave the last good state in force."""
+        """A malformed row must raise, so that the last valid state stays active."""
         bad_route = {**CONFIGURATION, "Routes": [{"Name": "r"}]}
         for value in (b"", b"{}", b"[]", b"null", json.dumps(bad_route).encode()):
             with self.assertRaises(DecodeError):
@@ -87,8 +87,8 @@
         with self.assertRaises(DecodeError):
             decode_target("i", b'{"Service": "a"}')
 
-    def test_a_target_that_drains_leaves(self) -> None:
-        """A target that is about to leave gets no new work."""
+    def test_a_draining_target_is_leaving(self) -> None:
+        """A draining target must get no new work."""
         entry = {
             **TARGET_ENTRY,
             "Service": "a",
@@ -103,8 +103,8 @@
 class WireTests(unittest.TestCase):
     """Read and write header fields."""
 
-    def test_what_the_router_sets_never_comes_from_a_caller(self) -> None:
-        """A caller poses as another account, holds memory and jumps the queue."""
+    def test_reserved_fields_of_callers_are_not_forwarded(self) -> None:
+        """Callers could impersonate other accounts, hold memory or bypass the queue."""
         sent = PlatformWire().write_target_fields(
             [
                 (b"authorization", b"Bearer k"),
@@ -160,10 +160,10 @@
 
 
 class DatagramTests(unittest.TestCase):
-    """Encode and decode what routers tell each other."""
+    """Encode and decode the datagrams between routers."""
 
-    def test_each_message_comes_back(self) -> None:
-        """What is sent is what is read; noise is nothing."""
+    def test_each_message_is_decoded_unchanged(self) -> None:
+        """Each message survives a round trip; malformed datagrams are ignored."""
         name = InstanceId("a")
         account = ClientAccountName("t")
         for message in (
@@ -182,8 +182,8 @@
     def test_a_long_prompt_is_covered_by_several_routers_at_once(self) -> None:
         """Thirty routers hold 3,000 tokens each, and a prompt lacks 20,000.
 
-        Asked one after the other, they answer later than the prompt can wait. Where
-        one router has enough, no other is asked.
+        Sequential loan requests would take longer than the prompt can wait. If one
+        router has enough tokens, no other router is asked.
         """
         peers = PeerTable("vm-0")
         account = ClientAccountName("hotel")
@@ -198,8 +198,8 @@
         self.assertEqual(len(peers.portions(account, 2000, 1.1)), 1)
         self.assertEqual(peers.portions(account, 2000, 9.0), [])
 
-    def test_a_silent_router_is_not_asked(self) -> None:
-        """A router falls silent; what it said last no longer counts as reachable."""
+    def test_an_unresponsive_router_is_not_asked(self) -> None:
+        """The last state of an unresponsive router no longer counts as lendable."""
         peers = PeerTable("own")
         entry = PeerEntry("v", InstanceId("a"), "10.0.0.1", 7)
         peers.put(entry)
--- a/tests/test_platform_adapters.py
+++ b/tests/test_platform_adapters.py
@@ -167,10 +167,10 @@
 
         async def run():
             async with table_service(client_name="router-1") as (platform, table):
-                platform.faults.table.cut_off.add("router-1")
+                platform.faults.table.partitioned.add("router-1")
                 read = await table.read((KEY,), timeout_s=0.2)
                 self.assertEqual(read.reason, Reason.TIMEOUT)
-                platform.faults.table.cut_off.clear()
+                platform.faults.table.partitioned.clear()
                 read = await table.read((KEY,), timeout_s=1)
                 self.assertEqual(read, Done((None,)))
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports that settings name before a daemon listens on them."""
+"""Tests of ports that are reserved before a daemon listens on them."""
 
 import socket
 import unittest
@@ -19,23 +19,22 @@
 
 class PortTests(unittest.TestCase):
     """
-    A test asks the system for a port and names it in a router's settings. Before the
-    router listens, a connection of any other program is given the same port, or the
-    next fleet of the test is. The router ends with "Address already in use", and the
-    whole run has failed for a reason that is not in the code.
+    A test obtains a free port and writes it to a router's settings. Before the router
+    listens, the system assigns the port to a connection of another program, or to the
+    next fleet of the test. The router then fails with "Address already in use".
     """
 
-    def test_nobody_gets_a_port_between_its_choice_and_its_use(self):
-        """Another program wants the port before the router listens, and after a
-        router that was killed has let go of it."""
+    def test_a_reserved_port_cannot_be_bound_by_others(self):
+        """Another program tries to bind the port before the router listens, and
+        after a killed router has released it."""
         port = reserve_port()
         for _ in range(2):
             with socket.socket() as other, self.assertRaises(OSError):
                 other.bind((LOOPBACK, port))
             listen(port).close()
 
-    def test_a_router_that_listens_is_reached(self):
-        """The port is the router's own: callers come to it, not to its keeper."""
+    def test_connections_reach_the_listening_router(self):
+        """Connections must reach the router, not the socket that reserves the port."""
         port = reserve_port()
         with listen(port) as router:
             with socket.create_connection((LOOPBACK, port)) as caller:
@@ -43,14 +42,14 @@
                 with connection:
                     self.assertEqual(address, caller.getsockname())
 
-    def test_no_port_is_named_twice(self):
-        """Fleets of two routers name four ports each."""
+    def test_no_port_is_returned_twice(self):
+        """A fleet of two routers needs four ports for each router."""
         ports = [reserve_port() for _ in range(100)]
         ports += [reserve_datagram_port() for _ in range(100)]
         self.assertEqual(len(set(ports)), 200)
 
-    def test_a_datagram_port_that_is_taken_is_not_named(self):
-        """A second UDP socket on a port would take the first one's datagrams."""
+    def test_a_datagram_port_is_not_in_use(self):
+        """A second UDP socket on a port would receive the first one's datagrams."""
         port = reserve_datagram_port()
         with socket.socket(type=socket.SOCK_DGRAM) as router:
             router.bind((LOOPBACK, port))
--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -16,7 +16,7 @@
 from endivegw.decisions import Dispatcher, Placement, Policy, WorkItem
 from endivegw.platform.command import PlatformDecoder
 from endivegw.platform.configuration import DecodeError, decode_target
-from endivegw.platform.store import _rows
+from endivegw.platform.store import _decode_rows
 from endivegw.relay.target_ends import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
 from endivegw.services.row_store import StoredRow
@@ -179,7 +179,9 @@
                 {"Table": "t", "Key": "c", "Value": 7, "ResourceVersion": 3},
             ]
         }
-        self.assertEqual([found.value for found in _rows(content)], [b"", b"{}", b""])
+        self.assertEqual(
+            [found.value for found in _decode_rows(content)], [b"", b"{}", b""]
+        )
 
     def test_an_entry_without_a_start_time_is_not_used_if_others_have_one(
         self,
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -22,11 +22,11 @@
 from endivegw.types import AttemptId, Priority, Usage
 from endivegw_standins.engine_app import (
     EngineApp,
-    EngineKnobs,
+    EngineOptions,
     FakeEngine,
     answer_text,
 )
-from endivegw_standins.service_app import ServiceApp, ServiceKnobs
+from endivegw_standins.service_app import ServiceApp, ServiceOptions
 from endivegw_standins.serving import served
 
 
@@ -59,8 +59,8 @@
 
 
 class EngineAdapterTests(unittest.TestCase):
-    def with_engine(self, scenario, **knobs):
-        engine = FakeEngine(knobs=EngineKnobs(**knobs))
+    def with_engine(self, scenario, **options):
+        engine = FakeEngine(options=EngineOptions(**options))
 
         async def main():
             async with served(EngineApp(engine)) as url:
@@ -245,7 +245,7 @@
         """The service terminates in the middle of its answer. Without a failure at the
         end the caller would take the partial answer for a complete one.
         """
-        app = ServiceApp(ServiceKnobs(break_after_bytes=4))
+        app = ServiceApp(ServiceOptions(break_after_bytes=4))
         request = ServiceRequest(AttemptId("a1"), "POST", "/")
         events = self.call(app, request, [b"abcd", b"efgh"])
         self.assertIsInstance(events[-1], EngineFailed)
