--- a/src/endivegw/allowances/fetching.py
+++ b/src/endivegw/allowances/fetching.py
@@ -1,4 +1,4 @@
-"""Obtain tokens for requests that the tokens in hand do not cover."""
+"""Obtain tokens for requests that the available tokens do not cover."""
 
 from __future__ import annotations
 
@@ -79,7 +79,7 @@
     that none of them gets, and the last would wait for the sum. Here a request waits
     for at most the rest of the current round and one round of its own.
 
-    :param try_reserve: reserves tokens in hand, or returns what is lacking.
+    :param try_reserve: reserves available tokens, or returns the kind of shortage.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
     async def fetch(
         self, account: ClientAccountName, tokens: int
     ) -> Reservation | Shortage:
-        """Return a reservation for a request, or what is lacking."""
+        """Return a reservation for a request, or the kind of shortage."""
         queue = self._queues.setdefault(account, _Queue())
         waiter = _Waiter(tokens)
         queue.waiters[waiter] = None
--- a/src/endivegw/allowances/funds.py
+++ b/src/endivegw/allowances/funds.py
@@ -17,7 +17,7 @@
 __all__ = ["Funds", "Growth", "Terms"]
 
 #: Demand observed for less than this is treated as observed for this long, because a
-#: single large request says little about a rate.
+#: single large request is a poor estimate of a rate.
 _MIN_OBSERVED_S = 3.0
 
 
@@ -34,11 +34,10 @@
     takes, as used; after 1.5 s the ramp has grown by three eighths of steady growth.
     During a longer outage of the store the growth catches up: a request refused at its
     start is retried and served, but tokens stranded by a kill are lost. A ramp of 4 s
-    with a lead of 0.3 s strands 2.3 % of a budget beyond the requests in progress, a
-    ramp of 3 s with a lead of 0.4 s 3.0 %; with outages and a kill of all routers,
-    5.9 % instead of 7.1 % of requests are refused although the budget covers them. The
-    cost is that 28 % instead of 19 % of requests in the first 2.5 s of an outage are
-    told to retry. Ramps of 6 s or longer refuse too many requests there.
+    with a lead of 0.3 s strands 2.3 % of a budget beyond the requests in progress; with
+    outages and a kill of all routers, 5.9 % of requests are refused although the budget
+    covers them. The cost is that 28 % of requests in the first 2.5 s of an outage have
+    to be retried. Ramps of 6 s or longer refuse too many requests there.
 
     :param ramp_s: time until the full rate is reached.
     :param max_s: the longest time through which a limit grows.
--- a/src/endivegw/allowances/ledger.py
+++ b/src/endivegw/allowances/ledger.py
@@ -123,7 +123,7 @@
         tokens: int,
         store_ms: float,
     ) -> Reservation | Shortage:
-        """Reserve tokens for a request, or return what is missing."""
+        """Reserve tokens for a request, or return the kind of shortage."""
         funds = self.of(account)
         if self.available_tokens(account, store_ms) >= tokens:
             funds.reserved_tokens += tokens
@@ -170,9 +170,9 @@
     ) -> int:
         """Return how many of the held tokens a peer may borrow.
 
-        The peer gets what its request lacks, or half of what is unused here if that is
-        more, so that it need not ask again for each request of an account whose callers
-        have moved to it.
+        The peer gets the tokens that its request lacks, or half of the unused tokens of
+        this router if that is more, so that it need not ask again for each request of
+        an account whose callers have moved to it.
         """
         unused = max(0, self.of(account).hand_tokens)
         return min(wanted_tokens, max(min(min_tokens, unused), unused // 2))
--- a/src/endivegw/allowances/limit_extender.py
+++ b/src/endivegw/allowances/limit_extender.py
@@ -70,7 +70,7 @@
         """Write until the row covers the tokens, while another write may help.
 
         Routers that draw on the same budget at once conflict, and a write that lost
-        such a conflict does not show what is left of the budget.
+        such a conflict does not return the tokens left in the budget.
         """
         wait_s = self._ledger.options.wait_s
         with self.wanting(account, tokens), anyio.move_on_after(wait_s):
--- a/src/endivegw/allowances/manager.py
+++ b/src/endivegw/allowances/manager.py
@@ -29,7 +29,7 @@
 #: and loans have been tried.
 _MIN_RETRY_S = 0.4
 
-#: Longest delay that a caller is told. Few callers wait longer, and the store may
+#: Longest retry delay sent to a caller. Few callers wait longer, and the store may
 #: respond before then. The spread is added to it.
 _MAX_RETRY_S = 3.0
 
--- a/src/endivegw/allowances/options.py
+++ b/src/endivegw/allowances/options.py
@@ -35,8 +35,8 @@
     :param growth_factor: how much faster than its demand a router isolated from the
         store may spend once its limit grows at the full rate. Peers lend if the callers
         of one account concentrate on one router.
-    :param growth: how limits grow during an outage of the store. Outages last up to
-        9 s; during one beyond the longest growth, a router depends on what peers lend.
+    :param growth: how limits grow during an outage of the store. Designed for outages
+        of up to 9 s; beyond the longest growth, a router depends on what peers lend.
     :param statement_timeout_s: how long a request waits for the witnesses; four
         round trips to another availability zone.
     :param demand_s: time constant of the measured demand.
@@ -53,8 +53,8 @@
         spend or lend per second if its own demand is lower. During an outage of the
         store, callers of an account may need what another router holds.
     :param hold_s: seconds of its demand that a router holds of each account, by
-        borrowing ahead while the store answers. Outages last up to 9 s, and during
-        one, peers can lend only as fast as their limits grow.
+        borrowing ahead while the store answers. Designed for outages of up to 9 s,
+        during which peers can lend only as fast as their limits grow.
     :param low_share: share of ``hold_s`` below which it borrows ahead.
     :param balance_every_s: interval at which it checks whether to borrow ahead.
     :param min_balance_tokens: smallest loan requested ahead, a few requests' worth;
--- a/src/endivegw/allowances/row_writer.py
+++ b/src/endivegw/allowances/row_writer.py
@@ -56,7 +56,7 @@
 
 
 class RowWriter:
-    """Write a router's row, and read what is left of the budgets.
+    """Write a router's row, and read the tokens left in the budgets.
 
     :param peers: the other routers.
     :param started_s: when this process started; its predecessor had ended by then.
@@ -186,35 +186,35 @@
     async def _register(self) -> bool:
         """Take over the row that the previous process on this machine left."""
         timeout_s = self._options.write_timeout_s
-        asked_s = self._clock()
+        sent_s = self._clock()
         rows = await self._store.list_rows(
             HOLDERS_TABLE, timeout_s=timeout_s, partition=self._partition
         )
         if not isinstance(rows, Done):
             return False
         timestamp = rows.value.timestamp
-        self._record_answer(timestamp.now_ms, self._clock(), asked_s)
+        self._record_answer(timestamp.now_ms, self._clock(), sent_s)
         own_row = next((row for row in rows.value.rows if row.key == self._vm), None)
         if own_row is not None:
             self._revision = own_row.revision
             await self._succeed(
-                self._decode_row(own_row), own_row.revision, timestamp.now_ms, asked_s
+                self._decode_row(own_row), own_row.revision, timestamp.now_ms, sent_s
             )
         self.registered = True
         return True
 
     async def _succeed(
-        self, holder: HolderRow, revision: int, store_ms: int, asked_s: float
+        self, holder: HolderRow, revision: int, store_ms: int, sent_s: float
     ) -> None:
         """Take over a row, possibly again after a late write of the predecessor.
 
         :param store_ms: the store's clock in the answer that contained the row.
-        :param asked_s: when that answer was requested, which is before it was produced.
+        :param sent_s: when that answer was requested, which is before it was produced.
             However slow the store is, the predecessor had ended before the time that
             follows from both.
         """
         self._ledger.funds.clear()
-        running_ms = max(0.0, asked_s - self._started_s) * 1000.0
+        running_ms = max(0.0, sent_s - self._started_s) * 1000.0
         ended_ms = store_ms - running_ms * self._options.clock_margin
         statements = await self._peers.request_statements(
             holder.witnesses, holder.instance_id, timeout_s=_STATEMENTS_TIMEOUT_S
@@ -238,13 +238,13 @@
 
     async def _read_budgets(self) -> None:
         timeout_s = self._options.write_timeout_s
-        asked_s = self._clock()
+        sent_s = self._clock()
         rows = await self._store.list_rows(BUDGETS_TABLE, timeout_s=timeout_s)
         now_s = self._clock()
         if not isinstance(rows, Done):
             self._record_failure(now_s, "read")
             return
-        self._record_answer(rows.value.timestamp.now_ms, now_s, asked_s)
+        self._record_answer(rows.value.timestamp.now_ms, now_s, sent_s)
         self._read_at_s = now_s
         for row in rows.value.rows:
             self._apply_budget(row)
@@ -310,7 +310,7 @@
             revision = write.expected[account]
             expected.append(ExpectedRow(BUDGETS_TABLE, account, revision))
             puts.append(NewRow(BUDGETS_TABLE, account, encode_budget(drawn_tokens)))
-        asked_s = self._clock()
+        sent_s = self._clock()
         deletes: tuple[ExpectedRow, ...] = ()
         if self._is_last and write.is_complete and self._revision:
             # The row contains nothing more that a successor would need.
@@ -324,13 +324,13 @@
         now_s = self._clock()
         match result:
             case Done(timestamp):
-                self.last_write_s = now_s - asked_s
-                self._record_answer(timestamp.now_ms, now_s, asked_s)
+                self.last_write_s = now_s - sent_s
+                self._record_answer(timestamp.now_ms, now_s, sent_s)
                 self._commit(write, timestamp.revision)
                 return True
             case Conflict(rows, timestamp):
-                self._record_answer(timestamp.now_ms, now_s, asked_s)
-                return await self._resolve(write, rows, timestamp.now_ms, asked_s)
+                self._record_answer(timestamp.now_ms, now_s, sent_s)
+                return await self._resolve(write, rows, timestamp.now_ms, sent_s)
         self._record_failure(now_s, result.reason.value)
         return None
 
@@ -346,7 +346,7 @@
         write: PlannedWrite,
         rows: tuple[StoredRow, ...],
         store_ms: int,
-        asked_s: float,
+        sent_s: float,
     ) -> bool:
         """Determine from a conflict whether an earlier copy of the write took effect.
 
@@ -377,7 +377,7 @@
             if self._has_written and holder.instance_id != NOBODY:
                 self._reset(holder)
             else:
-                await self._succeed(holder, own_row.revision, store_ms, asked_s)
+                await self._succeed(holder, own_row.revision, store_ms, sent_s)
             return False
         if holder.sequence == write.row.sequence:
             self._commit(write, own_row.revision)
@@ -395,12 +395,12 @@
         if holder is None:
             self._revision = 0
 
-    def _record_answer(self, store_ms: int, now_s: float, asked_s: float) -> None:
-        self._store_clock.update(store_ms, now_s, asked_s)
+    def _record_answer(self, store_ms: int, now_s: float, sent_s: float) -> None:
+        self._store_clock.update(store_ms, now_s, sent_s)
         self._answered_at_s = now_s
         if self._unavailable_since_s is not None:
-            away_s = round(now_s - self._unavailable_since_s, 3)
-            self._log.emit(events.STORE_RECOVERED, away_s=away_s)
+            unavailable_s = round(now_s - self._unavailable_since_s, 3)
+            self._log.emit(events.STORE_RECOVERED, away_s=unavailable_s)
             self._unavailable_since_s = None
 
     def _record_failure(self, now_s: float, reason: str) -> None:
--- a/src/endivegw/allowances/store_clock.py
+++ b/src/endivegw/allowances/store_clock.py
@@ -25,22 +25,22 @@
     _store_ms: float = 0.0
     _updated_at_s: float | None = None
     _latest_ms: float = math.inf
-    _latest_asked_s: float = 0.0
+    _latest_sent_s: float = 0.0
 
-    def update(self, store_ms: int, now_s: float, asked_s: float | None = None) -> None:
+    def update(self, store_ms: int, now_s: float, sent_s: float | None = None) -> None:
         """Apply the clock reading of an answer that just arrived.
 
-        :param asked_s: when the answer was requested; without it, the reading only
-            raises the lower bound.
+        :param sent_s: when the answer was requested; without it, the reading
+            only raises the lower bound.
         """
         if self._updated_at_s is None or store_ms > self.now_ms(now_s):
             self._store_ms = store_ms
             self._updated_at_s = now_s
-        if asked_s is None:
+        if sent_s is None:
             return
-        if store_ms + self._max_elapsed_ms(asked_s, now_s) < self.latest_ms(now_s):
+        if store_ms + self._max_elapsed_ms(sent_s, now_s) < self.latest_ms(now_s):
             self._latest_ms = store_ms
-            self._latest_asked_s = asked_s
+            self._latest_sent_s = sent_s
 
     @property
     def is_known(self) -> bool:
@@ -56,7 +56,7 @@
 
     def latest_ms(self, now_s: float) -> float:
         """Return the upper bound of the clock; infinity before the first answer."""
-        return self._latest_ms + self._max_elapsed_ms(self._latest_asked_s, now_s)
+        return self._latest_ms + self._max_elapsed_ms(self._latest_sent_s, now_s)
 
     def _max_elapsed_ms(self, since_s: float, now_s: float) -> float:
         return max(0.0, now_s - since_s) * 1000.0 / self.margin
--- a/src/endivegw/allowances/succession.py
+++ b/src/endivegw/allowances/succession.py
@@ -1,4 +1,4 @@
-"""Upper bound on what a dead router used_tokens, from its row and its witnesses."""
+"""Upper bound on the use of a dead router, from its row and its witnesses."""
 
 from __future__ import annotations
 
--- a/src/endivegw/budgets/escrow.py
+++ b/src/endivegw/budgets/escrow.py
@@ -37,13 +37,13 @@
 
 
 class CommitState(enum.Enum):
-    """Describe what is known of a batch after another attempt to write it."""
+    """Known state of a batch after another attempt to write it."""
 
     #: The batch took effect.
     COMMITTED = "committed"
     #: The batch did not take effect and never will.
     ROLLED_BACK = "void"
-    #: The outcome is unknown; the same batch must be tried again.
+    #: The outcome is unknown; the same batch must be written again.
     PENDING = "pending"
     #: Recovery fenced the holder off, which no longer owns its grants.
     FENCED = "fenced"
@@ -149,7 +149,7 @@
         return CommitState.COMMITTED
 
     async def is_fenced(self, *, timeout_s: float) -> bool:
-        """Return whether the table says that recovery took this holder over."""
+        """Return whether the table shows that recovery took this holder over."""
         if self._version == 0:
             return False
         key = holder_row_key(self.holder)
--- a/src/endivegw/budgets/recovery.py
+++ b/src/endivegw/budgets/recovery.py
@@ -141,7 +141,7 @@
         rows = await self._read_grants((grant_id,))
         if rows is None:
             return RecoveryState(False, 1)
-        return await self._recover_grants(rows, (grant_id,), whole_holder=False)
+        return await self._recover_grants(rows, (grant_id,), all_of_holder=False)
 
     async def recover_until_done(self, instance_id: InstanceId) -> None:
         """Run rounds until no grant of an instance is open."""
@@ -156,7 +156,7 @@
             return RecoveryState(False, 0)
         grants = [GrantRow.of(row) for row in rows]
         seal_ids = (all_grants_of(holder.holder),)
-        state = await self._recover_grants(grants, seal_ids, whole_holder=True)
+        state = await self._recover_grants(grants, seal_ids, all_of_holder=True)
         if state.done:
             await self._mark_recovered(holder)
         return state
@@ -214,7 +214,7 @@
         self,
         grants: list[GrantRow],
         seal_ids: tuple[GrantId, ...],
-        whole_holder: bool,
+        all_of_holder: bool,
     ) -> RecoveryState:
         if not grants:
             return RecoveryState(True, 0)
@@ -232,7 +232,7 @@
         open_rows = Counter(grant.budget for grant in grants)
         grants_left = 0
         for grant in grants:
-            is_last = whole_holder and open_rows[grant.budget] == 1
+            is_last = all_of_holder and open_rows[grant.budget] == 1
             if await self._settle(grant, collected, is_last):
                 open_rows[grant.budget] -= 1
             else:
--- a/src/endivegw/budgets/writer.py
+++ b/src/endivegw/budgets/writer.py
@@ -106,7 +106,7 @@
         return self._unwritten is not None
 
     async def write_once(self, closing: bool) -> bool:
-        """Write what is due, or retry the batch that was not answered.
+        """Write the changes that are due, or retry the batch that was not answered.
 
         :returns: whether a write was sent to the table.
         """
@@ -402,6 +402,6 @@
 
     def _mark_table_available(self) -> None:
         if self.unavailable_since_s is not None:
-            away_s = round(self._clock() - self.unavailable_since_s, 3)
-            self._log.emit(events.BUDGET_TABLE_RECOVERED, away_s=away_s)
+            unavailable_s = round(self._clock() - self.unavailable_since_s, 3)
+            self._log.emit(events.BUDGET_TABLE_RECOVERED, away_s=unavailable_s)
             self.unavailable_since_s = None
--- a/src/endivegw/cli/template.py
+++ b/src/endivegw/cli/template.py
@@ -118,7 +118,7 @@
         return base
     if file_base is None:
         raise CommandInputError(
-            "the file does not say which version it was made from; start from "
+            "the file does not state which version it was made from; start from "
             '"template show" or use --overwrite'
         )
     revision, version = file_base
--- a/src/endivegw/daemons/claim_slot.py
+++ b/src/endivegw/daemons/claim_slot.py
@@ -177,7 +177,7 @@
         return True
 
     async def _clear_tainted(self) -> bool:
-        """Write the slot's row anew without its tainted mark."""
+        """Rewrite the slot's row without the mark of possibly incomplete claims."""
         slot = self.slot
         acquisition = SlotAcquisition(slot.number, slot.version, slot.epoch, False)
         transaction = acquire_transaction(
--- a/src/endivegw/daemons/http_front.py
+++ b/src/endivegw/daemons/http_front.py
@@ -319,7 +319,7 @@
             return await self._runner.run(request, sink)
         except EndivegwError as error:
             # An invariant check failed or an answer was malformed. The HTTP server's
-            # default error page would not say that the request may have run.
+            # default error page would not state that the request may have run.
             self._log.emit(INVARIANT_BROKEN, detail=error.message)
             return Unknown(Reason.TARGET_FAILED, "an internal check failed")
 
--- a/src/endivegw/daemons/sidecar_cancel.py
+++ b/src/endivegw/daemons/sidecar_cancel.py
@@ -1,4 +1,4 @@
-"""Cancel attempts, and report what is known of them."""
+"""Cancel attempts, and report their known state."""
 
 from __future__ import annotations
 
--- a/src/endivegw/daemons/sidecar_links.py
+++ b/src/endivegw/daemons/sidecar_links.py
@@ -41,7 +41,7 @@
 
 @frozen
 class CancelStatus:
-    """Hold a sidecar's answer to a cancel; all flags are False if it cannot tell.
+    """Hold a sidecar's answer to a cancel; all flags are False if unknown.
 
     :param usage: tokens consumed by the attempt; final if ``ended``.
     """
--- a/src/endivegw/daemons/sidecar_process.py
+++ b/src/endivegw/daemons/sidecar_process.py
@@ -137,7 +137,7 @@
         self._stopped.set()
 
     def _on_configuration(self, snapshot: Snapshot) -> None:
-        """Drain, resume or stop as the target's configuration says."""
+        """Drain, resume or stop as the target's configuration requires."""
         if self._draining:
             return
         parameters = snapshot.targets.get(self._parts.settings.target.target)
--- a/src/endivegw/daemons/slot_claim_service.py
+++ b/src/endivegw/daemons/slot_claim_service.py
@@ -153,7 +153,7 @@
             self._log.emit(SLOT_RELEASED, slot=number, epoch=owned.slot.epoch)
 
     async def _poll(self, tasks: TaskGroup) -> None:
-        """Read the slot map, and the VM list if due; acquire what is vacant."""
+        """Read the slot map, and the VM list if due; acquire vacant slots."""
         current = await read_slot_map(self._table, self._clock)
         if current is None:
             return
--- a/src/endivegw/daemons/target_reader.py
+++ b/src/endivegw/daemons/target_reader.py
@@ -18,7 +18,7 @@
 
 
 class TargetReader:
-    """Keep the dispatcher's targets in step with the registry."""
+    """Keep the dispatcher's targets up to date with the registry."""
 
     def __init__(
         self,
--- a/src/endivegw/decisions/copy_sources.py
+++ b/src/endivegw/decisions/copy_sources.py
@@ -37,12 +37,12 @@
 
     :param address: address of the target to copy from; None for no copy.
     :param tokens: cached tokens that the source has beyond those of the reading target.
-    :param takes_s: how long the copy takes.
+    :param duration_s: how long the copy takes.
     """
 
     address: str | None = None
     tokens: int = 0
-    takes_s: float = 0.0
+    duration_s: float = 0.0
 
 
 NO_COPY = Copy()
--- a/src/endivegw/decisions/placement.py
+++ b/src/endivegw/decisions/placement.py
@@ -208,7 +208,9 @@
         load = (occupied + 1.0) / slots
         if load > 1.0:
             load = 1.0
-        finish_s = speed.first.predict(state.unread_tokens() + uncached) + copy.takes_s
+        finish_s = (
+            speed.first.predict(state.unread_tokens() + uncached) + copy.duration_s
+        )
         finish_s += criteria.output_tokens * (step.base + step.slope * load)
         if occupied >= slots:
             finish_s += (occupied + 1.0 - slots) * speed.service_time_s.mean / slots
@@ -242,7 +244,7 @@
     def _probe(self, pool: Pool, criteria: _Criteria, now_s: float) -> Choice | None:
         """Return a shed target that is due for a probe, or None.
 
-        Urgent requests are not used as probes, nor are requests without time to spare.
+        Urgent requests are not used as probes, nor are requests without slack.
         """
         item = criteria.item
         if item.priority is Priority.URGENT:
--- a/src/endivegw/decisions/policy.py
+++ b/src/endivegw/decisions/policy.py
@@ -52,7 +52,7 @@
         fullest target; many would all choose the same least loaded target while reports
         lag.
     :param affinity: whether targets that have parts of a prompt cached are preferred.
-    :param copies: whether a target is told to copy cached tokens from another one.
+    :param copies: whether a target is instructed to copy cached tokens from another.
     :param affinity_choices: number of targets compared because they are expected to
         have a prefix of the prompt cached.
     :param probes: draws before a request is queued because all drawn targets were full.
@@ -90,9 +90,9 @@
     :param sweep_s: interval at which health is evaluated.
     :param slow_factor: ratio to its peers' time above which a target sheds load. Below
         it the placement's own cost estimate is enough.
-    :param max_shed_share: maximum share of a model's capacity that health may take
-        away. If most targets look unhealthy, the cause is elsewhere, and the rest would
-        be overloaded.
+    :param max_shed_share: maximum share of a model's capacity that health may remove.
+        If most targets look unhealthy, the cause is elsewhere, and the rest would be
+        overloaded.
     :param min_weight: minimum weight of a target, so that it is still probed.
     :param shed_step: factor by which a target's weight may fall per sweep.
     :param recover_step: amount by which a target's weight may rise per sweep. A
--- a/src/endivegw/decisions/retry.py
+++ b/src/endivegw/decisions/retry.py
@@ -35,7 +35,7 @@
 
     If a target or a rack fails, many attempts fail at once and each asks for another
     one. Without this limit the retries would keep the surviving targets overloaded
-    after the cause is gone: the number of attempts grows while the number of answers
+    after the cause is removed: the number of attempts grows while the number of answers
     does not.
     """
 
--- a/src/endivegw/decisions/scaling.py
+++ b/src/endivegw/decisions/scaling.py
@@ -70,7 +70,7 @@
 
 @frozen
 class LoadedTarget:
-    """Hold what is loaded on one target.
+    """Hold the models that are loaded on one target.
 
     :param loading: models that are being loaded.
     :param running: running requests by model; a model in use is not unloaded.
@@ -111,7 +111,7 @@
 
 @define
 class _Plan:
-    """Plan orders on a copy of what is loaded."""
+    """Plan orders on a copy of the loaded models."""
 
     policy: ScalingPolicy
     sizes: Mapping[str, int]
--- a/src/endivegw/decisions/shares.py
+++ b/src/endivegw/decisions/shares.py
@@ -184,7 +184,7 @@
 
         With the wait alone, all callers refused within a second would retry within one
         second and be refused again, and the overload would last as long as the callers
-        kept retrying. Each caller therefore gets a time after those given before, at
+        retried. Each caller therefore gets a time after those given before, at
         the rate at which retried requests can be served.
 
         :param wait_s: time until the request would fit if no other caller retried.
--- a/src/endivegw/decisions/work.py
+++ b/src/endivegw/decisions/work.py
@@ -75,7 +75,7 @@
     :param address: opaque to the decisions and returned with the placement.
     :param models: names that the target serves, in the form of :attr:`WorkItem.model`.
     :param slots: number of requests that the target runs at once.
-    :param started_ms: tells two incarnations under one ``instance_id`` apart; None if
+    :param started_ms: distinguishes two incarnations with one ``instance_id``; None if
         ``instance_id`` alone does.
     :param copy_s_per_token: time to copy a cached token from another target; None if
         targets do not copy from each other.
--- a/src/endivegw/gossip/peers.py
+++ b/src/endivegw/gossip/peers.py
@@ -129,7 +129,7 @@
         Its last report may be as old as the reporting interval. Until the next one, the
         lent tokens would count twice, at the lender and at the borrower: an exhausted
         account would seem to have tokens that cannot be reached now, and its callers
-        would be told to retry.
+        would be asked to retry.
         """
         for peer in self._peers.values():
             if peer.entry.instance_id == sender and peer.state is not None:
--- a/src/endivegw/requests/attempts.py
+++ b/src/endivegw/requests/attempts.py
@@ -252,7 +252,7 @@
         usage: Usage,
         now_s: float,
     ) -> Step:
-        """Process the reply to a cancel; all False if the sidecar cannot tell."""
+        """Process the reply to a cancel; all flags are False if unknown."""
         attempt = self._current()
         if never_started:
             self._record.record_not_run(attempt)
--- a/src/endivegw/routing/fleet.py
+++ b/src/endivegw/routing/fleet.py
@@ -12,7 +12,7 @@
 __all__ = ["FleetView"]
 
 #: Time after the registry's return within which running targets have renewed entries
-#: that expired during the outage. Targets still missing then are gone.
+#: that expired during the outage. Targets still missing then have terminated.
 RENEWAL_GRACE_S = 1.9
 
 
@@ -23,17 +23,17 @@
     After an outage of the registry, entries of running targets are missing because the
     targets could not renew them. Removing these targets at once would leave the router
     without any when the registry returns; keeping them forever would send requests to
-    targets that are gone. Entries that are missing after an outage are therefore kept
+    terminated targets. Entries that are missing after an outage are therefore retained
     for :data:`RENEWAL_GRACE_S`.
 
     :ivar registry_unavailable: whether the registry does not respond.
-    :ivar registry_back_s: time of the first response after an outage; None before any
-        outage.
+    :ivar registry_recovered_s: time of the first response after an outage; None before
+        any outage.
     """
 
     targets: dict[InstanceId, DirectTarget] = field(factory=dict)
     registry_unavailable: bool = False
-    registry_back_s: float | None = None
+    registry_recovered_s: float | None = None
     _missing: dict[InstanceId, float] = field(factory=dict)
 
     def on_registry_unavailable(self) -> None:
@@ -44,7 +44,7 @@
         """Record a response of the registry."""
         if self.registry_unavailable:
             self.registry_unavailable = False
-            self.registry_back_s = now_s
+            self.registry_recovered_s = now_s
 
     def put(self, target: DirectTarget) -> None:
         """Add or replace a target's entry."""
@@ -52,16 +52,16 @@
         self._missing.pop(target.instance_id, None)
 
     def remove(self, instance_id: InstanceId, now_s: float) -> None:
-        """Remove a target whose entry is gone.
+        """Remove a target whose entry was removed.
 
-        After an outage of the registry, it is kept until the grace period ends.
+        After an outage of the registry, it is retained until the grace period ends.
         """
         if instance_id not in self.targets:
             return
         if self._within_renewal_grace(now_s):
-            assert self.registry_back_s is not None
+            assert self.registry_recovered_s is not None
             self._missing.setdefault(
-                instance_id, self.registry_back_s + RENEWAL_GRACE_S
+                instance_id, self.registry_recovered_s + RENEWAL_GRACE_S
             )
             return
         del self.targets[instance_id]
@@ -101,6 +101,6 @@
 
     def _within_renewal_grace(self, now_s: float) -> bool:
         return (
-            self.registry_back_s is not None
-            and now_s < self.registry_back_s + RENEWAL_GRACE_S
+            self.registry_recovered_s is not None
+            and now_s < self.registry_recovered_s + RENEWAL_GRACE_S
         )
--- a/src/endivegw/routing/model.py
+++ b/src/endivegw/routing/model.py
@@ -141,9 +141,9 @@
         it.
     :param address: ``IP:PORT``.
     :param leaving: whether the target must get no new requests.
-    :param started_ms: start time in Unix milliseconds, which tells two incarnations of
-        one ``instance_id`` apart; None if not registered. Compare it for equality only:
-        the target's clock may have been set back between two starts.
+    :param started_ms: start time in Unix milliseconds, which distinguishes two
+        incarnations of one ``instance_id``; None if not registered. Compare it
+        for equality only: the target's clock may have been set back between two starts.
     """
 
     instance_id: InstanceId
--- a/src/endivegw/targets/http_service.py
+++ b/src/endivegw/targets/http_service.py
@@ -24,7 +24,7 @@
 _CONNECT_TIMEOUT_S = 1.0
 
 #: Time without data after which a connection counts as dead. The sidecar itself ends a
-#: call at its deadline; this limit applies if the deadline is further away.
+#: call at its deadline; this limit applies if the deadline is later.
 _IDLE_TIMEOUT_S = 300.0
 
 HeaderFields = tuple[tuple[str, str], ...]
@@ -50,7 +50,7 @@
     async def call(
         self, request: ServiceRequest, body: AsyncIterator[bytes]
     ) -> AsyncIterator[ServiceAnswerHead | bytes | EngineFailed]:
-        """Yield the head and the body; a failure replaces what is missing."""
+        """Yield the head and the body; a failure replaces the missing part."""
         try:
             async with self._pool.stream(
                 request.method,
--- a/src/endivegw/targets/openai_engine.py
+++ b/src/endivegw/targets/openai_engine.py
@@ -167,7 +167,7 @@
         return Done(None) if isinstance(result, Done) else result
 
     async def state(self) -> Result[tuple[str, ...]]:
-        """Return what is loaded, and the role as ``role:NAME``."""
+        """Return the loaded models, and the role as ``role:NAME``."""
         result = await self._call("GET", STATE_PATH, None, _CALL_TIMEOUT_S)
         if not isinstance(result, Done):
             return result
--- a/src/endivegw/targets/ports.py
+++ b/src/endivegw/targets/ports.py
@@ -168,7 +168,7 @@
         """
 
     async def state(self) -> Result[tuple[str, ...]]:
-        """Return what is loaded, in the form of :attr:`EngineLoad.models`."""
+        """Return the loaded models, in the form of :attr:`EngineLoad.models`."""
 
 
 @frozen
@@ -195,4 +195,4 @@
     def call(
         self, request: ServiceRequest, body: AsyncIterator[bytes]
     ) -> AsyncIterator[ServiceAnswerHead | bytes | EngineFailed]:
-        """Yield the head and the body; a failure replaces what is missing."""
+        """Yield the head and the body; a failure replaces the missing part."""
--- a/src/endivegw/targets/rolling.py
+++ b/src/endivegw/targets/rolling.py
@@ -82,7 +82,7 @@
     for entry in _drain_candidates(ordered):
         if out >= policy.max_out_of_service:
             break
-        # A target whose capacity is needed is skipped: a smaller one may be spared.
+        # A target whose capacity is needed is skipped: a smaller one may not be needed.
         if serving - entry.slots < needed:
             continue
         serving -= entry.slots
--- a/src/endivegw/telemetry/losses.py
+++ b/src/endivegw/telemetry/losses.py
@@ -19,7 +19,7 @@
 #: Outcomes whose cause is in the event TOKENS_REFUSED of the same request.
 _TOKEN_REFUSALS = frozenset({"insufficient_quota", "budget_unavailable"})
 
-#: Outcomes that tell the caller that the request did not run and may be retried.
+#: Outcomes that inform the caller that the request did not run and may be retried.
 _REFUSALS = _TOKEN_REFUSALS | {"overloaded", "no_target", "not_ready"}
 
 
