--- a/src/endivegw/allowances/funds.py
+++ b/src/endivegw/allowances/funds.py
@@ -1,4 +1,4 @@
-"""One router's tokens of one budget: what it holds and how much it may use.
+"""One router's tokens of one budget: the held tokens and the limit on their use.
 
 Pure state. The router's row in the store carries :class:`Terms`, which guarantee that
 the router's use never exceeds a limit that grows with the store's clock at a recorded
--- a/src/endivegw/allowances/limit_extender.py
+++ b/src/endivegw/allowances/limit_extender.py
@@ -82,7 +82,7 @@
 
     @contextlib.contextmanager
     def wanting(self, account: ClientAccountName, tokens: int) -> Iterator[None]:
-        """Have statements and writes cover tokens while they are waited for."""
+        """Include tokens in statements and writes while a request waits for them."""
         wanted = self._ledger.wanted_tokens
         wanted[account] = wanted.get(account, 0) + tokens
         try:
--- a/src/endivegw/allowances/rows.py
+++ b/src/endivegw/allowances/rows.py
@@ -24,7 +24,7 @@
     "encode_holder",
 ]
 
-#: One row per router: what it drew and how much it may use.
+#: One row per router: the drawn tokens and the limit on their use.
 HOLDERS_TABLE = "token-holders"
 
 #: One row per client account: what all routers drew in total.
--- a/src/endivegw/budgets/ledger.py
+++ b/src/endivegw/budgets/ledger.py
@@ -45,7 +45,7 @@
 
 @frozen
 class SealedGrant:
-    """Represent what was consumed under a grant that is closed to further work.
+    """Represent the consumption under a grant that is closed to further work.
 
     :param consumed_tokens: consumed by attempts that ended.
     :param running_tokens: the most that running attempts may consume.
@@ -234,7 +234,7 @@
     def seal(
         self, grant_ids: tuple[GrantId, ...], now_s: float
     ) -> tuple[SealedGrant, ...]:
-        """Refuse all later work under the grants and return what they consumed.
+        """Refuse all later work under the grants and return their consumption.
 
         An id made by :func:`rows.all_grants_of` seals a holder; the result then lists
         each of its grants that work ran under here.
--- a/src/endivegw/budgets/recovery.py
+++ b/src/endivegw/budgets/recovery.py
@@ -2,7 +2,7 @@
 
 A router that terminates leaves tokens in escrow, and work that it dispatched may still
 be running or in transit. Recovery fences the holder off in the table, seals its grants
-at the sidecars, which report what was consumed, and returns the remaining tokens to the
+at the sidecars, which report the consumption, and returns the remaining tokens to the
 budget. Any router may recover any other, also concurrently with others: each write
 expects the version of the row on which the decision was based.
 
@@ -77,7 +77,7 @@
     async def seal(
         self, target: TargetName, grant_ids: tuple[GrantId, ...], *, timeout_s: float
     ) -> Result[SealAnswer]:
-        """Seal grants at the sidecar of a target and return what they consumed."""
+        """Seal grants at the sidecar of a target and return their consumption."""
 
     def terminated_at_s(self, target: TargetName, sidecar: InstanceId) -> float | None:
         """Return when a sidecar terminated for good, or None if this is not known.
--- a/src/endivegw/budgets/wallet.py
+++ b/src/endivegw/budgets/wallet.py
@@ -33,7 +33,7 @@
 
 @frozen
 class GrantChange:
-    """Represent what one table write does to one grant.
+    """Represent the effect of one table write on one grant.
 
     :param opens: whether the write creates the grant's row.
     :param closes_version: the row's version if the write deletes it, else None.
--- a/src/endivegw/daemons/seal_calls.py
+++ b/src/endivegw/daemons/seal_calls.py
@@ -75,7 +75,7 @@
     async def seal(
         self, target: TargetName, grant_ids: tuple[GrantId, ...], *, timeout_s: float
     ) -> Result[SealAnswer]:
-        """Seal grants at a target's sidecar and return what they consumed."""
+        """Seal grants at a target's sidecar and return their consumption."""
         address = self._addresses.get(target)
         if address is None:
             return Refused(Reason.UNREACHABLE, f"no sidecar found for target {target}")
--- a/src/endivegw/daemons/sidecar_cancel.py
+++ b/src/endivegw/daemons/sidecar_cancel.py
@@ -74,10 +74,10 @@
             await run.ended.wait()
 
     async def _engine_usage(self, attempt_id: AttemptId) -> Usage | None:
-        """Stop an attempt of an earlier process; return what it consumed.
+        """Stop an attempt of an earlier process; return the consumed tokens.
 
         The counts of that process are lost, and nothing reads the answer any
-        more. Without the engine's figures the account would be charged the whole
+        more. Without the engine's figures the account would be charged the complete
         reservation.
         """
         if self.engine is None:
--- a/src/endivegw/daemons/sidecar_engine.py
+++ b/src/endivegw/daemons/sidecar_engine.py
@@ -169,8 +169,8 @@
             match await self._engine.cancel(self._request.attempt_id):
                 case Done(value=usage):
                     return usage, True
-        # The engine did not report what it consumed and may still be running.
-        # The whole reservation is charged, so that the budget cannot be overspent.
+        # The engine did not report its consumption and may still be running.
+        # The complete reservation is charged, so that the budget cannot be overspent.
         max_tokens = self._request.max_completion_tokens
         return Usage(self._prompt_bound_tokens, max_tokens), False
 
--- a/src/endivegw/daemons/sidecar_ports.py
+++ b/src/endivegw/daemons/sidecar_ports.py
@@ -116,7 +116,7 @@
         which are retained for callers that retry. Together with the rest of the
         process this stays below 64 MB.
     :param max_retained_answers: maximum number of completed answers that are
-        retained, whatever their size; each takes some 3 KB beside its bytes.
+        retained, whatever their size; each takes about 3 KB beside its bytes.
     :param answer_retention_s: time in seconds for which a completed answer is
         retained unless memory runs out; callers retry within seconds, a few of
         them after minutes.
--- a/src/endivegw/daemons/sidecar_process.py
+++ b/src/endivegw/daemons/sidecar_process.py
@@ -29,7 +29,7 @@
 
 
 #: Timeout for releasing key slots and writing the last checkpoint. If the table
-#: is unavailable for longer, recovery determines what was consumed.
+#: is unavailable for longer, recovery determines the consumption.
 _CLOSE_TIMEOUT_S = 10.0
 
 
--- a/src/endivegw/daemons/sidecar_run.py
+++ b/src/endivegw/daemons/sidecar_run.py
@@ -20,7 +20,7 @@
 READ_BYTES = 32 * 2**10
 
 #: Minimum time between two data frames of one engine's answer, except for its
-#: first and its last frame. A frame costs the router and the sidecar some 0.3 ms
+#: first and its last frame. A frame costs the router and the sidecar about 0.3 ms
 #: CPU each, whatever its size, so that tokens generated faster than this share a
 #: frame. Nobody reads faster, and the answer ends no later.
 _MIN_FRAME_INTERVAL_S = 0.02
--- a/src/endivegw/daemons/slot_claim_service.py
+++ b/src/endivegw/daemons/slot_claim_service.py
@@ -54,7 +54,7 @@
     :param near_map_interval_s: the same interval for the sidecars that are next
         in rank to acquire a slot; at most 96 of them cost 32 reads a second. They
         must detect within the grace time that an owner has terminated, or the
-        slot is tainted.
+        slot's claims count as possibly incomplete.
     :param vm_list_interval_s: interval in seconds between reads of the VM list
         while every owner near in rank is responsive; 650 sidecars read it 6 times
         a second in all.
--- a/src/endivegw/decisions/policy.py
+++ b/src/endivegw/decisions/policy.py
@@ -65,11 +65,11 @@
     :param prefix_entries: maximum number of entries in the prefix index.
     :param prefix_ttl_s: time after which a cached prefix that was not confirmed is
         ignored.
-    :param recheck_s: interval at which queued requests look for a free slot without an
-        event.
+    :param recheck_s: interval at which free slots are assigned to queued requests
+        without an event.
     :param max_backoff_wait_s: longest wait of a request while all targets asked for a
-        pause. If the first target is back later, callers are refused with the time
-        until then.
+        pause. If the first target accepts requests later, callers are refused with the
+        time until then.
 
     Initial estimates, used until there are samples:
 
--- a/src/endivegw/decisions/work.py
+++ b/src/endivegw/decisions/work.py
@@ -217,7 +217,7 @@
 
 @frozen
 class AttemptEnd:
-    """Hold the end of an attempt and what it consumed.
+    """Hold the end of an attempt and its consumption.
 
     :param longest_pause_s: longest pause between two pieces of the answer; None if
         unknown.
--- a/src/endivegw/gossip/peers.py
+++ b/src/endivegw/gossip/peers.py
@@ -87,7 +87,7 @@
 
 @define
 class PeerTable:
-    """The other routers and what they last reported."""
+    """The other routers and their last reports."""
 
     own_vm: str
     own_zone: AvailabilityZone = AvailabilityZone("")
--- a/src/endivegw/quarantine/manager.py
+++ b/src/endivegw/quarantine/manager.py
@@ -48,7 +48,7 @@
 class QuarantineOptions:
     """Intervals and timeouts of the quarantine manager.
 
-    :param list_every_s: seconds between two reads of the rows. Peers send what is new;
+    :param list_every_s: seconds between two reads of the rows. Peers send new records;
         the rows serve routers that start and operators that release a request.
     :param retry_s: seconds until the next read if the store did not answer.
     :param refresh_every_s: seconds between two refreshes of a request that still
--- a/src/endivegw/requests/run_record.py
+++ b/src/endivegw/requests/run_record.py
@@ -1,4 +1,4 @@
-"""Track which attempts of a request may have run, and what they consumed."""
+"""Track which attempts of a request may have run, and their consumption."""
 
 from __future__ import annotations
 
--- a/src/endivegw/targets/openai_engine.py
+++ b/src/endivegw/targets/openai_engine.py
@@ -125,7 +125,7 @@
         return self._stream(request, path, body, resumed=True)
 
     async def cancel(self, attempt_id: AttemptId) -> Result[Usage]:
-        """Cancel an answer and return what it consumed."""
+        """Cancel an answer and return its token usage."""
         path = f"{REQUESTS_PATH}/{attempt_id}/cancel"
         result = await self._call("POST", path, {}, _CALL_TIMEOUT_S)
         if not isinstance(result, Done):
--- a/src/endivegw/targets/order_manager.py
+++ b/src/endivegw/targets/order_manager.py
@@ -330,7 +330,7 @@
         written = settle_transaction(self._target, queue, after, row)
         result = await self._write(written)
         if not isinstance(result, Done):
-            # The next step reads the queue again and determines what was written.
+            # The next step reads the queue again to see whether the write took effect.
             return StepResult.WAITING
         self._queue = after
         self._log.emit(
--- a/src/endivegw/targets/ports.py
+++ b/src/endivegw/targets/ports.py
@@ -62,7 +62,7 @@
 
 @frozen
 class EngineEnded:
-    """Report that the answer is complete, and what it consumed."""
+    """Report that the answer is complete, and its token usage."""
 
     usage: Usage
     finish_reason: str
@@ -155,7 +155,7 @@
         """Yield the events after the first ``pieces`` chunks of a running answer."""
 
     async def cancel(self, attempt_id: AttemptId) -> Result[Usage]:
-        """Cancel an answer and return what it consumed."""
+        """Cancel an answer and return its token usage."""
 
     async def load(self) -> Result[EngineLoad]:
         """Return the engine's load report."""
