--- a/src/endivegw/composition/sidecar.py
+++ b/src/endivegw/composition/sidecar.py
@@ -8,13 +8,13 @@
 from endivegw.budgets.gate import GrantGate
 from endivegw.composition.process import Process, create_metrics, open_process
 from endivegw.configuration import TargetKind
-from endivegw.daemons.slot_claim_service import SlotClaimService, SlotClaimSettings
 from endivegw.daemons.peer_directory import TARGET_ROLE
 from endivegw.daemons.sidecar import Sidecar
 from endivegw.daemons.sidecar_configuration import SidecarConfiguration
 from endivegw.daemons.sidecar_jobs import EngineTarget, ServiceTarget, Target
 from endivegw.daemons.sidecar_ports import SidecarSettings as SidecarOptions
 from endivegw.daemons.sidecar_process import SidecarProcess, SidecarProcessParts
+from endivegw.daemons.slot_claim_service import SlotClaimService, SlotClaimSettings
 from endivegw.requests.starts import StartRegistry
 from endivegw.settings import SidecarSettings, TargetSettings
 from endivegw.targets.http_service import HttpService
--- a/src/endivegw/daemons/claim_slot.py
+++ b/src/endivegw/daemons/claim_slot.py
@@ -110,15 +110,17 @@
                 await changed.wait()
         if self.owner.lost:
             return True
-        tainted = self._tainted()
-        transaction = release_transaction(self.slot, tainted=tainted)
+        possibly_incomplete = self._is_possibly_incomplete()
+        transaction = release_transaction(
+            self.slot, possibly_incomplete=possibly_incomplete
+        )
         done = await self._transact(transaction)
         if done:
             self.owner.ownership_lost()
         return done
 
-    def _tainted(self) -> bool:
-        return self._clock() < self.owner.tainted_until_s
+    def _is_possibly_incomplete(self) -> bool:
+        return self._clock() < self.owner.incomplete_until_s
 
     async def _load(self) -> None:
         rows: list[Row] = []
@@ -155,8 +157,8 @@
             ):
                 return self.owner.lost
             self.owner.committed(commit)
-        if self.slot.tainted and not self._tainted():
-            return await self._clear_tainted()
+        if self.slot.possibly_incomplete and not self._is_possibly_incomplete():
+            return await self._clear_possibly_incomplete()
         return True
 
     async def _write_heartbeat(self, now_s: float) -> bool:
@@ -176,7 +178,7 @@
         self._heartbeat_due_s = now_s + self.owner.limits.heartbeat_interval_s
         return True
 
-    async def _clear_tainted(self) -> bool:
+    async def _clear_possibly_incomplete(self) -> bool:
         """Rewrite the slot's row without the mark of possibly incomplete claims."""
         slot = self.slot
         acquisition = SlotAcquisition(slot.number, slot.version, slot.epoch, False)
--- a/src/endivegw/daemons/slot_claim_service.py
+++ b/src/endivegw/daemons/slot_claim_service.py
@@ -234,7 +234,7 @@
             settings.vm,
             settings.address,
             acquisition.epoch,
-            acquisition.tainted,
+            acquisition.possibly_incomplete,
             acquisition.expected_version + 1,
         )
         self._start_owning(slot, tasks)
@@ -243,15 +243,18 @@
         now_s = self._clock()
         limits = self._settings.limits
         owner = SlotOwner(slot.number, limits, last_heartbeat_s=now_s)
-        if slot.tainted:
-            owner.tainted_until_s = now_s + limits.retention_s
+        if slot.possibly_incomplete:
+            owner.incomplete_until_s = now_s + limits.retention_s
         known = self._watch.current.heartbeats.get(slot.number)
         count = 0 if known is None else known.count
         heartbeat = SlotHeartbeat(count, count, int(self._wall() * 1000))
         owned = OwnedSlot(slot, owner, heartbeat, self._table, self._clock, self._wall)
         self._owned[slot.number] = owned
         self._log.emit(
-            SLOT_ACQUIRED, slot=slot.number, epoch=slot.epoch, tainted=slot.tainted
+            SLOT_ACQUIRED,
+            slot=slot.number,
+            epoch=slot.epoch,
+            tainted=slot.possibly_incomplete,
         )
         tasks.start_soon(self._maintain, owned)
 
--- a/src/endivegw/requests/claim_rows.py
+++ b/src/endivegw/requests/claim_rows.py
@@ -76,14 +76,14 @@
         "vm": vm,
         "address": address,
         "epoch": acquisition.epoch,
-        "tainted": int(acquisition.tainted),
+        "tainted": int(acquisition.possibly_incomplete),
     }
     return Transaction(
         (Put(slot_key(acquisition.slot), fields, acquisition.expected_version),)
     )
 
 
-def release_transaction(slot: Slot, *, tainted: bool) -> Transaction:
+def release_transaction(slot: Slot, *, possibly_incomplete: bool) -> Transaction:
     """Return the transaction with which an owner releases a flushed slot."""
     fields: dict[str, RowValue] = {
         "target": "",
@@ -91,7 +91,7 @@
         "vm": "",
         "address": "",
         "epoch": slot.epoch,
-        "tainted": int(tainted),
+        "tainted": int(possibly_incomplete),
     }
     return Transaction((Put(slot_key(slot.number), fields, slot.version),))
 
--- a/src/endivegw/requests/claims.py
+++ b/src/endivegw/requests/claims.py
@@ -156,8 +156,8 @@
     """Grant each key of one slot to one attempt.
 
     :param last_heartbeat_s: time of the last successful heartbeat.
-    :param tainted_until_s: time until which the claims are possibly incomplete: a key
-        that is not found may have been claimed from an earlier owner. 0 if the
+    :param incomplete_until_s: time until which the claims are possibly incomplete: a
+        key that is not found may have been claimed from an earlier owner. 0 if the
         claims are complete.
     :param next_sequence: sequence number of the first row that this owner writes.
     :ivar lost: whether another owner has acquired the slot.
@@ -168,7 +168,7 @@
     slot: int
     limits: ClaimLimits
     last_heartbeat_s: float
-    tainted_until_s: float = 0.0
+    incomplete_until_s: float = 0.0
     next_sequence: int = 0
     lost: bool = False
     releasing: bool = False
@@ -214,7 +214,7 @@
             return self._answer_known(entry, proposal, now_s)
         if proposal.repeatable:
             return self._answer_hint(proposal)
-        if now_s < self.tainted_until_s:
+        if now_s < self.incomplete_until_s:
             return CannotTell()
         if proposal.lookup_only:
             return Refused(Reason.NOT_FOUND, "no claim exists for the key")
--- a/src/endivegw/requests/slots.py
+++ b/src/endivegw/requests/slots.py
@@ -50,8 +50,8 @@
     :param vm: the owner's machine, "" if the slot was released.
     :param address: address of the owner's sidecar, as ``host:port``.
     :param epoch: number that increases with each owner.
-    :param tainted: whether the slot's claims were possibly incomplete when the owner
-        acquired it, so that keys that are not found may have been claimed.
+    :param possibly_incomplete: whether the slot's claims were possibly incomplete when
+        the owner acquired it, so that keys that are not found may have been claimed.
     :param version: version of the row.
     """
 
@@ -61,7 +61,7 @@
     vm: str
     address: str
     epoch: int
-    tainted: bool
+    possibly_incomplete: bool
     version: int
 
     @property
@@ -112,7 +112,7 @@
     slot: int
     expected_version: int
     epoch: int
-    tainted: bool
+    possibly_incomplete: bool
 
 
 @frozen
@@ -256,8 +256,12 @@
     ) -> SlotAcquisition:
         if slot is None:
             return SlotAcquisition(number, 0, 1, False)
-        tainted = slot.tainted or not self._claims_complete(slot, now_s, wall_s)
-        return SlotAcquisition(number, slot.version, slot.epoch + 1, tainted)
+        possibly_incomplete = slot.possibly_incomplete or not self._claims_complete(
+            slot, now_s, wall_s
+        )
+        return SlotAcquisition(
+            number, slot.version, slot.epoch + 1, possibly_incomplete
+        )
 
     def _claims_complete(self, slot: Slot, now_s: float, wall_s: float) -> bool:
         """Return whether the terminated owner cannot have granted from memory.
--- a/tests/test_requests_claims.py
+++ b/tests/test_requests_claims.py
@@ -60,9 +60,11 @@
     return batch
 
 
-def slot(vm="vm1", instance="i1", *, tainted=False, version=1):
+def slot(vm="vm1", instance="i1", *, possibly_incomplete=False, version=1):
     target = TargetName("t1")
-    return Slot(0, target, InstanceId(instance), vm, vm, 1, tainted, version)
+    return Slot(
+        0, target, InstanceId(instance), vm, vm, 1, possibly_incomplete, version
+    )
 
 
 class OwnerTests(unittest.TestCase):
@@ -133,12 +135,12 @@
         slots = owner()
         self.assertEqual(slots.ask(proposal("a"), 500.0), Waiting())
 
-    def test_tainted_slot_cannot_tell_absent_keys(self):
+    def test_possibly_incomplete_slot_does_not_know_absent_keys(self):
         """
         An owner terminated in an outage and may have granted keys from memory. Its
         successor must not treat such a key as new.
         """
-        slots = owner(tainted_until_s=100.0)
+        slots = owner(incomplete_until_s=100.0)
         slots.load((proposal("a").claim,), 0.0)
         self.assertEqual(
             slots.ask(proposal("b", 1), 5.0), Existing(proposal("a").claim)
@@ -170,7 +172,7 @@
 
     def test_repeatable_request_needs_no_row(self):
         """The claim of a repeatable request can be found, and costs no write."""
-        slots = owner(tainted_until_s=100.0)
+        slots = owner(incomplete_until_s=100.0)
         hint = slots.ask(proposal("a", repeatable=True), 0.0)
         self.assertEqual(hint, Granted(durable=False))
         found = slots.ask(proposal("b", repeatable=True), 0.0)
@@ -237,8 +239,8 @@
                 first.heartbeat(now_s)
         unwritten = not first.flushed
         rows = table.page(ring_partition(0), "", None, 1000).rows
-        taint_s = now_s + 1.0 if unwritten else 0.0
-        successor = SlotOwner(0, limits, now_s, tainted_until_s=taint_s)
+        incomplete_until_s = now_s + 1.0 if unwritten else 0.0
+        successor = SlotOwner(0, limits, now_s, incomplete_until_s=incomplete_until_s)
         successor.load(claims_of_rows(rows), now_s)
         for key, holder in holders.items():
             answer = successor.ask(proposal("new", key), now_s)
@@ -343,7 +345,7 @@
         acquisitions = watch.acquisitions(rest, rest, 39.0, 0.0)
         self.assertEqual(acquisitions, (SlotAcquisition(0, 1, 2, False),))
 
-    def test_owner_off_the_list_late_leaves_a_tainted_slot(self):
+    def test_owner_off_the_list_late_leaves_a_possibly_incomplete_slot(self):
         """
         An owner's machine terminates during an outage. It may have granted claims that
         are not in the table, so the slot is marked as possibly incomplete.
@@ -402,11 +404,11 @@
             watch.acquisitions(VMS, VMS, 0.0, 990.0), (SlotAcquisition(0, 1, 2, True),)
         )
 
-    def test_taint_stays_with_the_slot(self):
+    def test_slot_stays_possibly_incomplete_under_its_next_owner(self):
         """A possibly incomplete slot stays so after an orderly release."""
         watch = self.watch()
         self.read_heartbeats(
-            watch, [SlotHeartbeat(1, 0, 0)], found=slot("", tainted=True)
+            watch, [SlotHeartbeat(1, 0, 0)], found=slot("", possibly_incomplete=True)
         )
         watch.acquisitions(VMS, VMS, 0.0, 0.0)
         self.assertEqual(
--- a/tests/test_sidecar_claims.py
+++ b/tests/test_sidecar_claims.py
@@ -305,7 +305,7 @@
     async def test_planned_stop_releases_the_slot(self):
         """
         A sidecar is stopped as planned. It writes its claims and releases its
-        slot, so that the next owner knows every key and is not tainted.
+        slot, so that the next owner knows every key.
         """
         async with fleet_of_one() as fleet:
             router = fleet.router()
@@ -315,7 +315,7 @@
             await fleet.start_sidecar()
             owned = fleet.claim_service._owned[0]
         self.assertEqual(owned.owner.claims, 1)
-        self.assertIs(owned.slot.tainted, False)
+        self.assertIs(owned.slot.possibly_incomplete, False)
 
     async def test_without_an_owner_the_outcome_is_unknown(self):
         """
--- a/tests/test_target_entries.py
+++ b/tests/test_target_entries.py
@@ -17,8 +17,8 @@
 from endivegw.platform.command import PlatformDecoder
 from endivegw.platform.configuration import DecodeError, decode_target
 from endivegw.platform.store import _decode_rows
-from endivegw.relay.termination_detector import TerminationDetector
 from endivegw.relay.target_pool import TargetPool
+from endivegw.relay.termination_detector import TerminationDetector
 from endivegw.services.row_store import StoredRow
 from endivegw.telemetry import EventLog
 from endivegw.types import AvailabilityZone, InstanceId, Priority
